--- a/src/main/java/gorserill/common/Deadlines.java
+++ b/src/main/java/gorserill/common/Deadlines.java
@@ -41,7 +41,7 @@
     }
 
     /** Takes out the first action that is due, or gives null. */
-    public Runnable due(long now) {
+    public Runnable pollDue(long now) {
         return next() > now ? null : pending.pollFirst().action;
     }
 }
--- a/src/main/java/gorserill/common/Loop.java
+++ b/src/main/java/gorserill/common/Loop.java
@@ -35,9 +35,9 @@
     private final long unixAtStart = System.currentTimeMillis();
     private final Thread thread;
     private volatile boolean stopped;
-    private LongConsumer whenPaused = length -> {};
+    private LongConsumer onPause = length -> {};
     private long pauses;
-    private long longestPause;
+    private long longestPauseMicros;
     /** The pause at hand was told of up to this time. */
     private long toldUntil;
 
@@ -60,8 +60,8 @@
     }
 
     /** Is told, on the loop's thread, how long the process was held up, in microseconds. */
-    public Loop whenPaused(LongConsumer told) {
-        whenPaused = told;
+    public Loop onPause(LongConsumer told) {
+        onPause = told;
         return this;
     }
 
@@ -71,8 +71,8 @@
     }
 
     /** Microseconds. */
-    public long longestPause() {
-        return longestPause;
+    public long longestPauseMicros() {
+        return longestPauseMicros;
     }
 
     public void start() {
@@ -145,9 +145,9 @@
         long due = Math.max(deadlines.next(), toldUntil);
         if (now - due > PAUSE) {
             pauses++;
-            longestPause = Math.max(longestPause, now - due);
+            longestPauseMicros = Math.max(longestPauseMicros, now - due);
             toldUntil = now;
-            whenPaused.accept(now - due);
+            onPause.accept(now - due);
         }
     }
 
@@ -159,7 +159,7 @@
         if (event == null && deadlines.next() > now - OVERDUE) {
             event = events.poll();
         }
-        return event != null ? event : deadlines.due(now);
+        return event != null ? event : deadlines.pollDue(now);
     }
 
     private void guarded(Runnable event) {
--- a/src/main/java/gorserill/common/MemoryBudget.java
+++ b/src/main/java/gorserill/common/MemoryBudget.java
@@ -16,7 +16,7 @@
     }
 
     /** Takes so many bytes; false, and nothing taken, where there is no room. */
-    public boolean take(long bytes) {
+    public boolean tryReserve(long bytes) {
         if (used.addAndGet(bytes) <= most) {
             return true;
         }
@@ -24,7 +24,7 @@
         return false;
     }
 
-    public void free(long bytes) {
+    public void release(long bytes) {
         used.addAndGet(-bytes);
     }
 
--- a/src/main/java/gorserill/common/Siblings.java
+++ b/src/main/java/gorserill/common/SiblingProcesses.java
@@ -17,7 +17,7 @@
  * and which requests are open there. Each has a place of its own, a mapped file whose lock lasts as long as
  * the process. Descriptors may be told from any thread; all else is for the loop's.
  */
-public final class Siblings {
+public final class SiblingProcesses {
     /** An old process, its successor, and one more that died on the way. */
     private static final int PLACES = 3;
     /** Open requests told of; those beyond are not. */
@@ -39,14 +39,14 @@
     /** What each other place showed when it was last looked at; null where nobody holds it. */
     private final LongBuffer[] seen = new LongBuffer[PLACES];
 
-    private Siblings(Loop loop, int descriptorsOfItsOwn) {
+    private SiblingProcesses(Loop loop, int descriptorsOfItsOwn) {
         this.loop = loop;
         this.descriptorsOfItsOwn = descriptorsOfItsOwn;
     }
 
     /** A process that runs alone for good. */
-    public static Siblings none() {
-        return new Siblings(null, 0);
+    public static SiblingProcesses none() {
+        return new SiblingProcesses(null, 0);
     }
 
     /**
@@ -54,8 +54,9 @@
      *
      * @param descriptorsOfItsOwn those that a process needs besides its connections
      */
-    public static Siblings join(Loop loop, Path folder, String key, int descriptorsOfItsOwn) throws IOException {
-        Siblings siblings = new Siblings(loop, descriptorsOfItsOwn);
+    public static SiblingProcesses join(Loop loop, Path folder, String key, int descriptorsOfItsOwn)
+            throws IOException {
+        SiblingProcesses siblings = new SiblingProcesses(loop, descriptorsOfItsOwn);
         for (int place = 0; place < PLACES; place++) {
             siblings.places.add(folder.resolve(key + "." + place));
         }
@@ -65,7 +66,7 @@
         if (siblings.mine < 0) {
             throw new IOException("all " + PLACES + " places are taken");
         }
-        siblings.descriptors(0);
+        siblings.reportConnections(0);
         siblings.look();
         return siblings;
     }
@@ -128,12 +129,12 @@
         loop.at(loop.now() + LOOK_AGAIN, this::look);
     }
 
-    public boolean alone() {
+    public boolean isAlone() {
         return others.isEmpty();
     }
 
     /** This process holds so many connections; any thread may tell. */
-    public void descriptors(int connections) {
+    public void reportConnections(int connections) {
         if (told != null) {
             told.put(0, connections + descriptorsOfItsOwn);
         }
@@ -149,7 +150,7 @@
     }
 
     /** A request is open here from now on. */
-    public void opened(String id) {
+    public void requestOpened(String id) {
         if (told != null && !free.isEmpty()) {
             int slot = free.remove(free.size() - 1);
             open.put(id, slot);
@@ -158,7 +159,7 @@
     }
 
     /** A request is open here no more. */
-    public void closed(String id) {
+    public void requestClosed(String id) {
         Integer slot = open.remove(id);
         if (slot != null) {
             told.put(slot, 0);
@@ -167,7 +168,7 @@
     }
 
     /** Whether a request of that id is open at another process. */
-    public boolean openElsewhere(String id) {
+    public boolean isOpenElsewhere(String id) {
         if (others.isEmpty()) {
             return false;
         }
--- a/src/main/java/gorserill/common/ThrottledWarnings.java
+++ b/src/main/java/gorserill/common/ThrottledWarnings.java
@@ -12,9 +12,9 @@
  */
 public final class ThrottledWarnings {
     /** So many are told one by one in a period of so many microseconds. */
-    static final int ONE_BY_ONE = 5;
+    static final int MAX_LINES_PER_PERIOD = 5;
 
-    static final long PERIOD = 10_000_000;
+    static final long PERIOD_MICROS = 10_000_000;
 
     private final Loop loop;
     private final Logger log;
@@ -32,9 +32,9 @@
     /** @param reason one of a few; the details are told only while there are not many */
     public void add(String reason, String details) {
         if (told == 0) {
-            loop.at(loop.now() + PERIOD, this::sum);
+            loop.at(loop.now() + PERIOD_MICROS, this::sum);
         }
-        if (++told <= ONE_BY_ONE) {
+        if (++told <= MAX_LINES_PER_PERIOD) {
             log.log(Level.WARNING, "{0}: {1}: {2}", new Object[] {what, reason, details});
         } else {
             counted.merge(reason, 1, Integer::sum);
@@ -43,7 +43,9 @@
 
     private void sum() {
         if (!counted.isEmpty()) {
-            log.log(Level.WARNING, "{0}: in 10 s {1} more: {2}", new Object[] {what, told - ONE_BY_ONE, counted});
+            log.log(Level.WARNING, "{0}: in 10 s {1} more: {2}", new Object[] {
+                what, told - MAX_LINES_PER_PERIOD, counted
+            });
         }
         told = 0;
         counted.clear();
--- a/src/main/java/gorserill/program/ClusterConfig.java
+++ b/src/main/java/gorserill/program/ClusterConfig.java
@@ -5,7 +5,7 @@
 import gorserill.cluster.member.Member;
 import gorserill.cluster.shared.Budget;
 import gorserill.cluster.standing.StandingJob;
-import gorserill.protocol.ClassTerms;
+import gorserill.protocol.JobClassInfo;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URI;
@@ -92,7 +92,7 @@
 
     /** What the file says, checked; null where there is none or it does not enable the cluster. */
     static ClusterConfig read(
-            Path file, String node, Map<String, ClassTerms> classes, List<String> tenants, int dispatchers)
+            Path file, String node, Map<String, JobClassInfo> classes, List<String> tenants, int dispatchers)
             throws ConfigException {
         Map<String, String> values = Flattener.enabled(file);
         if (values == null) {
@@ -176,7 +176,7 @@
     }
 
     private static List<Budget> budgets(
-            Path file, JsonNode all, Map<String, ClassTerms> classes, List<String> tenants, int dispatchers)
+            Path file, JsonNode all, Map<String, JobClassInfo> classes, List<String> tenants, int dispatchers)
             throws ConfigException {
         List<Budget> budgets = new ArrayList<>();
         for (java.util.Iterator<Map.Entry<String, JsonNode>> i = all.fields(); i.hasNext(); ) {
@@ -264,11 +264,11 @@
     }
 
     private static StandingJob job(
-            Path file, Map<String, String> values, String name, String body, Map<String, ClassTerms> classes)
+            Path file, Map<String, String> values, String name, String body, Map<String, JobClassInfo> classes)
             throws ConfigException {
         String at = "standing." + name + ".";
         String jobClass = text(file, values, at + "class");
-        ClassTerms terms = classes.get(jobClass);
+        JobClassInfo terms = classes.get(jobClass);
         if (terms == null) {
             throw new ConfigException(
                     file + ": " + at + "class",
--- a/src/main/java/gorserill/program/ClusterPart.java
+++ b/src/main/java/gorserill/program/ClusterPart.java
@@ -18,10 +18,10 @@
 import gorserill.cluster.standing.StandingJob;
 import gorserill.common.Loop;
 import gorserill.routing.AdmissionControl;
-import gorserill.routing.Ask;
 import gorserill.routing.Core;
-import gorserill.routing.Front;
-import gorserill.routing.Work;
+import gorserill.routing.JobSpec;
+import gorserill.routing.RequestOptions;
+import gorserill.routing.ResponseHandler;
 import gorserill.transport.Datagrams;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -150,7 +150,7 @@
             spender = null;
         }
         if (door != null || config.retries() != null) {
-            core.admission(entry(door));
+            core.setAdmissionControl(entry(door));
         }
         if (address != null) {
             address.member(member);
@@ -200,12 +200,12 @@
                         config.retries().percent() / 100.0, config.retries().saved());
         return new AdmissionControl() {
             @Override
-            public long enter(long now, int jobClass, int tenant) {
+            public long admissionDelay(long now, int jobClass, int tenant) {
                 return budgets == null ? 0 : budgets.enter(now, jobClass, tenant);
             }
 
             @Override
-            public boolean attempt(boolean first) {
+            public boolean mayAttempt(boolean first) {
                 if (retries != null && first) {
                     retries.first();
                 }
@@ -419,7 +419,7 @@
         coreLoop.execute(() -> {
             String id = key + "-" + attempt + "-" + Long.toHexString(System.nanoTime());
             boolean keyed = settings.classes().get(index).effect() == Effect.KEYED;
-            Work work = new Work(
+            JobSpec work = new JobSpec(
                     id,
                     index,
                     null,
@@ -428,10 +428,10 @@
                     job.body().getBytes(StandardCharsets.UTF_8),
                     null,
                     job.name() + " " + epoch);
-            core.take(
+            core.submit(
                     new Answering(back),
                     work,
-                    new Ask(
+                    new RequestOptions(
                             coreLoop.now(),
                             settings.classes().get(index).deadline(),
                             false,
@@ -442,7 +442,7 @@
         });
     }
 
-    private record Answering(Consumer<End> to) implements Front {
+    private record Answering(Consumer<End> to) implements ResponseHandler {
         @Override
         public void served(byte[] result) {
             to.accept(End.SERVED);
--- a/src/main/java/gorserill/program/FaktoryConfig.java
+++ b/src/main/java/gorserill/program/FaktoryConfig.java
@@ -2,7 +2,7 @@
 
 import gorserill.contract.Contract;
 import gorserill.contract.JobRule;
-import gorserill.protocol.ClassTerms;
+import gorserill.protocol.JobClassInfo;
 import gorserill.protocol.faktory.FaktoryTerms;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
@@ -15,7 +15,7 @@
 
     /** What the file says, checked; null where there is none or it does not enable the front. */
     static FaktoryTerms read(
-            Path file, List<String> classNames, Map<String, ClassTerms> classes, Map<String, JobRule> rules)
+            Path file, List<String> classNames, Map<String, JobClassInfo> classes, Map<String, JobRule> rules)
             throws ConfigException {
         Map<String, String> values = Flattener.enabled(file);
         if (values == null) {
@@ -56,7 +56,7 @@
     }
 
     private static Map<String, String> bound(
-            Path file, Map<String, String> values, String under, Map<String, ClassTerms> classes)
+            Path file, Map<String, String> values, String under, Map<String, JobClassInfo> classes)
             throws ConfigException {
         Map<String, String> bound = new LinkedHashMap<>();
         for (Map.Entry<String, String> value : values.entrySet()) {
--- a/src/main/java/gorserill/program/Figures.java
+++ b/src/main/java/gorserill/program/Figures.java
@@ -5,7 +5,7 @@
 import gorserill.protocol.faktory.FaktoryFront;
 import gorserill.routing.Core;
 import gorserill.routing.HoldReason;
-import gorserill.routing.Tally;
+import gorserill.routing.JobStatistics;
 import java.util.List;
 import java.util.Locale;
 
@@ -44,7 +44,7 @@
     /** All figures as they are now, and a line that ends them. */
     String text() {
         StringBuilder text = new StringBuilder(1024);
-        Tally tally = core.tally();
+        JobStatistics tally = core.statistics();
         for (int c = 0; c < classNames.size(); c++) {
             calls(text, c, "success", tally.served(c));
             calls(text, c, "busy", tally.refused(c));
@@ -64,7 +64,10 @@
         StringBuilder text = new StringBuilder(1024);
         for (HoldReason reason : HoldReason.values()) {
             String name = reason.name().toLowerCase(Locale.ROOT);
-            line(text, "held_back_total{reason=\"" + name + "\"}", core.tally().heldBack(reason));
+            line(
+                    text,
+                    "held_back_total{reason=\"" + name + "\"}",
+                    core.statistics().heldBack(reason));
         }
         line(text, "discovery_calls_total", watch.calls());
         line(text, "discovery_answers_total", watch.answered());
@@ -75,7 +78,7 @@
         line(text, "discovery_late_answers_total", watch.lateAnswers());
         line(text, "list_version", fleet.version());
         line(text, "pauses_total", loop.pauses());
-        line(text, "longest_pause_ms", loop.longestPause() / MICROS_PER_MILLI);
+        line(text, "longest_pause_ms", loop.longestPauseMicros() / MICROS_PER_MILLI);
         return text.append(END).toString();
     }
 
--- a/src/main/java/gorserill/program/Fleet.java
+++ b/src/main/java/gorserill/program/Fleet.java
@@ -5,7 +5,7 @@
 import barrowflow.Dispatcher.Worker;
 import barrowflow.Dispatcher.WorkerState;
 import gorserill.common.Loop;
-import gorserill.protocol.discovery.Listing;
+import gorserill.protocol.discovery.WorkerListing;
 import gorserill.protocol.http.HttpWorker;
 import gorserill.routing.Core;
 import java.net.InetSocketAddress;
@@ -47,7 +47,7 @@
 
     private final Map<Long, HttpWorker> workers = new HashMap<>();
     /** What discovery says at present of the workers that are not gone. */
-    private final Map<String, Listing.Entry> listed = new HashMap<>();
+    private final Map<String, WorkerListing.Entry> listed = new HashMap<>();
     /** Handed over, and not yet listed. */
     private final Map<String, Handover.Figures> recalled = new HashMap<>();
 
@@ -70,7 +70,7 @@
         this.banned = banned;
     }
 
-    void tell(ListKind kind, Listing listing) {
+    void tell(ListKind kind, WorkerListing listing) {
         if (kind == ListKind.WHOLE) {
             dropUnlisted(listing);
         }
@@ -81,7 +81,7 @@
         int young = 0;
         int terminating = 0;
         int terminated = 0;
-        for (Listing.Entry entry : listing.entries()) {
+        for (WorkerListing.Entry entry : listing.entries()) {
             InetSocketAddress address = NodeConfig.addressOrNull(entry.address());
             if (address == null) {
                 LOG.log(Level.WARNING, "discovery: worker {0} has an unreadable address {1}; left out", new Object[] {
@@ -101,7 +101,7 @@
                 LOG.log(Level.FINE, "worker {0} is {1}", new Object[] {entry.name(), entry.status()});
                 leaving.add(entry.name());
             }
-            Listing.Entry before = listed.get(entry.name());
+            WorkerListing.Entry before = listed.get(entry.name());
             if (state == WorkerState.READY
                     && entry.since() > 0
                     && (before == null || before.since() != entry.since())) {
@@ -123,7 +123,7 @@
         if (kind == ListKind.CHANGES && entries.isEmpty()) {
             return;
         }
-        core.listed(kind, entries, ports);
+        core.updateWorkers(kind, entries, ports);
         forget();
         recall();
         if (!entries.isEmpty()) {
@@ -165,7 +165,7 @@
         int most = GONE_KEPT + listed.size();
         for (Iterator<String> it = gone.iterator(); gone.size() > most && it.hasNext(); ) {
             String name = it.next();
-            if (core.forget(numbers.get(name))) {
+            if (core.tryForget(numbers.get(name))) {
                 it.remove();
                 workers.remove(numbers.remove(name)).closeIdle();
             }
@@ -173,7 +173,7 @@
     }
 
     /** What is listed at present, with the core's numbers. */
-    void forEachListed(BiConsumer<Long, Listing.Entry> visitor) {
+    void forEachListed(BiConsumer<Long, WorkerListing.Entry> visitor) {
         listed.forEach((name, entry) -> visitor.accept(numbers.get(name), entry));
     }
 
@@ -192,11 +192,11 @@
             }
         });
         if (!known.isEmpty()) {
-            core.recall(new Learned(List.of(), known));
+            core.restoreLearned(new Learned(List.of(), known));
         }
     }
 
-    private static WorkerState state(Listing.Entry entry) {
+    private static WorkerState state(WorkerListing.Entry entry) {
         return switch (entry.status()) {
             case "in_service" -> WorkerState.READY;
             case "terminated" -> WorkerState.GONE;
@@ -205,7 +205,7 @@
         };
     }
 
-    private Worker worker(long id, Listing.Entry entry) {
+    private Worker worker(long id, WorkerListing.Entry entry) {
         WorkerState state = state(entry);
         return new Worker(
                 id,
@@ -247,15 +247,15 @@
 
     /** Tells the core of a worker that was taken out or put back. */
     void banChanged(String name) {
-        Listing.Entry entry = listed.get(name);
+        WorkerListing.Entry entry = listed.get(name);
         if (entry != null) {
             long id = numbers.get(name);
-            core.listed(ListKind.CHANGES, List.of(worker(id, entry)), Map.of());
+            core.updateWorkers(ListKind.CHANGES, List.of(worker(id, entry)), Map.of());
         }
     }
 
     /** A whole list's silence on a worker says that it is gone. */
-    private void dropUnlisted(Listing listing) {
+    private void dropUnlisted(WorkerListing listing) {
         Set<String> named = new HashSet<>();
         listing.entries().forEach(entry -> named.add(entry.name()));
         numbers.forEach((name, id) -> {
--- a/src/main/java/gorserill/program/Handover.java
+++ b/src/main/java/gorserill/program/Handover.java
@@ -58,7 +58,7 @@
             Map<String, Figures> workers = new HashMap<>();
             List<Double> all = read(workers);
             if (all != null) {
-                core.recall(new Learned(all, Map.of()));
+                core.restoreLearned(new Learned(all, Map.of()));
                 fleet.recall(workers);
                 LOG.log(Level.INFO, "{0} begins with what was learned of {1} workers", new Object[] {
                     node, workers.size()
--- a/src/main/java/gorserill/program/Lifecycle.java
+++ b/src/main/java/gorserill/program/Lifecycle.java
@@ -2,8 +2,8 @@
 
 import gorserill.common.Deadlines.Deadline;
 import gorserill.common.Loop;
-import gorserill.protocol.ClientFront;
-import gorserill.protocol.Intake;
+import gorserill.protocol.ClientFrontend;
+import gorserill.protocol.IntakeMode;
 import gorserill.routing.Core;
 import java.util.List;
 import java.util.logging.Level;
@@ -39,7 +39,7 @@
     private final Loop loop;
     private final String name;
     private final Core core;
-    private final List<ClientFront> fronts;
+    private final List<ClientFrontend> fronts;
     private final boolean passedSocket;
     private final Runnable stopListening;
     private final Runnable ended;
@@ -60,7 +60,7 @@
             Loop loop,
             String name,
             Core core,
-            List<ClientFront> fronts,
+            List<ClientFrontend> fronts,
             boolean passedSocket,
             Runnable stopListening,
             Runnable ended) {
@@ -95,7 +95,7 @@
         if (startsEmpty) {
             evacuate();
         } else {
-            fronts.forEach(front -> front.welcome(true));
+            fronts.forEach(front -> front.advertiseReady(true));
         }
     }
 
@@ -108,8 +108,8 @@
         LOG.log(Level.INFO, "{0} is being emptied: {1} requests open", new Object[] {name, core.openRequests()});
         state = State.LEAVING;
         fronts.forEach(front -> {
-            front.welcome(false);
-            front.intake(Intake.LAST);
+            front.advertiseReady(false);
+            front.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
         });
         closing = loop.at(loop.now() + LEAVING_JOBS, () -> {
             LOG.log(Level.INFO, "{0} takes no jobs until told: {1} requests open", new Object[] {
@@ -117,7 +117,7 @@
             });
             state = State.EMPTY;
             fronts.forEach(front -> {
-                front.intake(Intake.CLOSED);
+                front.setIntakeMode(IntakeMode.CLOSED);
                 front.closeIdle();
             });
         });
@@ -133,8 +133,8 @@
         loop.cancel(closing);
         state = State.SERVING;
         fronts.forEach(front -> {
-            front.intake(Intake.OPEN);
-            front.welcome(true);
+            front.setIntakeMode(IntakeMode.OPEN);
+            front.advertiseReady(true);
         });
     }
 
@@ -157,16 +157,16 @@
         loop.cancel(closing);
         long kill = loop.now() + Math.min(longest, LONGEST_GRACE) + GRACE_OVER_DEADLINE;
         lastAnswers = kill - LAST_ANSWERS;
-        core.answerBy(lastAnswers);
+        core.setAnswerDeadline(lastAnswers);
         if (passedSocket) {
             // What queues at the socket belongs to the next process; so do the clients after an answer.
             stopListening.run();
         } else {
-            fronts.forEach(front -> front.welcome(false));
+            fronts.forEach(front -> front.advertiseReady(false));
             loop.at(loop.now() + LINGER, stopListening);
         }
         if (passedSocket && !emptied || elsewhere) {
-            fronts.forEach(front -> front.intake(Intake.LAST));
+            fronts.forEach(front -> front.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION));
         }
         loop.at(emptied ? loop.now() + LINGER : Math.max(loop.now() + LINGER, kill - LAST_JOBS), this::windDown);
     }
@@ -174,9 +174,9 @@
     private void windDown() {
         LOG.log(Level.INFO, "{0} takes nothing new: {1} requests open", new Object[] {name, core.openRequests()});
         fronts.forEach(front -> {
-            front.intake(Intake.LAST);
+            front.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
             front.closeIdle();
-            front.dismiss();
+            front.announceShutdown();
         });
         endWhenIdle();
     }
@@ -188,7 +188,7 @@
     private void endWhenIdle() {
         core.whenIdle(() -> loop.at(loop.now() + LAST_ANSWERS, () -> {
             if (core.openRequests() == 0
-                    && (loop.now() >= lastAnswers || fronts.stream().allMatch(ClientFront::empty))) {
+                    && (loop.now() >= lastAnswers || fronts.stream().allMatch(ClientFrontend::hasNoClients))) {
                 ended.run();
             } else {
                 endWhenIdle();
--- a/src/main/java/gorserill/program/Node.java
+++ b/src/main/java/gorserill/program/Node.java
@@ -4,14 +4,14 @@
 import barrowflow.Dispatcher.Settings;
 import gorserill.common.Loop;
 import gorserill.common.MemoryBudget;
-import gorserill.common.Siblings;
+import gorserill.common.SiblingProcesses;
 import gorserill.common.ThrottledWarnings;
-import gorserill.protocol.Gate;
+import gorserill.protocol.ContractGate;
 import gorserill.protocol.Tenants;
-import gorserill.protocol.admin.AdminFront;
+import gorserill.protocol.admin.AdminFrontend;
 import gorserill.protocol.admin.LineCodec;
 import gorserill.protocol.discovery.CallPace;
-import gorserill.protocol.discovery.Listing;
+import gorserill.protocol.discovery.WorkerListing;
 import gorserill.protocol.faktory.FaktoryCodec;
 import gorserill.protocol.faktory.FaktoryFront;
 import gorserill.protocol.http.HttpCodec;
@@ -51,15 +51,15 @@
     private final NodeConfig config;
     private final Map<String, String> environment;
     private final Loop loop = new Loop(e -> LOG.log(Level.SEVERE, "an event failed; the node goes on", e))
-            .whenPaused(paused -> LOG.log(Level.WARNING, "the process was held up for {0} ms", paused / 1_000));
-    private final Siblings siblings;
+            .onPause(paused -> LOG.log(Level.WARNING, "the process was held up for {0} ms", paused / 1_000));
+    private final SiblingProcesses siblings;
     private final Transport transport;
     private final MemoryBudget room;
     private final CountDownLatch done = new CountDownLatch(1);
     private final CountDownLatch readied = new CountDownLatch(1);
     private Core core;
     private HttpFront front;
-    private Gate gate;
+    private ContractGate gate;
     private Fleet fleet;
     private HttpWatch watch;
     /** Null where other nodes are not spoken to. */
@@ -86,16 +86,16 @@
     }
 
     /** Danger: beside an old process a new one must not use up what limits give to both. */
-    private Siblings siblings(NodeConfig its) {
+    private SiblingProcesses siblings(NodeConfig its) {
         if (its.folder != null && its.passedSocket) {
             try {
-                return Siblings.join(loop, its.folder, NodeConfig.fileKey(its.name), its.ownDescriptors());
+                return SiblingProcesses.join(loop, its.folder, NodeConfig.fileKey(its.name), its.ownDescriptors());
             } catch (IOException e) {
                 LOG.log(Level.WARNING, "{0} can''t tell other processes of its limits: {1}", new Object[] {its.name, e
                 });
             }
         }
-        return Siblings.none();
+        return SiblingProcesses.none();
     }
 
     void start() throws IOException {
@@ -137,11 +137,11 @@
             watch.knows(config.known);
         }
         core = new Core(loop, config.settings, config.seed, watch::start, siblings);
-        core.crowded(transport::crowded);
+        core.setDescriptorShortage(transport::crowded);
         Bans bans = new Bans(config.folder, config.name);
         fleet = new Fleet(loop, core, terms, config.zones, config.kinds, bans::has);
         ThrottledWarnings answers = new ThrottledWarnings(
-                loop, Logger.getLogger(Gate.class.getName()), "workers' answers not as described");
+                loop, Logger.getLogger(ContractGate.class.getName()), "workers' answers not as described");
         Tenants tenants = new Tenants(config.tenantNames);
         if (config.faktory != null) {
             faktory = new FaktoryFront(
@@ -149,12 +149,12 @@
                     core,
                     config.faktory,
                     tenants,
-                    new Gate(loop, config.keysFor(), answers),
+                    new ContractGate(loop, config.keysFor(), answers),
                     config.seed,
                     room,
                     bans::has);
         }
-        gate = new Gate(loop, config.keysFor(), answers);
+        gate = new ContractGate(loop, config.keysFor(), answers);
         gate.replace(config.contract);
         front = new HttpFront(loop, core, config.classTerms(), tenants, gate, room);
         life = new Lifecycle(
@@ -191,7 +191,7 @@
                     new ClusterPart(config.cluster, config.name, BUILD, loop, core, config.settings, config.classNames);
         }
         if (config.admin != null) {
-            AdminFront admin = new AdminFront(
+            AdminFrontend admin = new AdminFrontend(
                     loop,
                     new OperatorCalls(life, maintenance, figures, this::contracts, this::reload, cluster).byName());
             loop.execute(() -> listenOnceFree(
@@ -220,7 +220,7 @@
         loop.execute(this::opened);
         // Danger: a node that knows of no worker would draw clients and refuse them all.
         if (config.known != null && !config.known.entries().isEmpty()) {
-            long first = config.settings.listOnRequest() ? FIRST_LIST : CallPace.AGENT * 1_000;
+            long first = config.settings.listOnRequest() ? FIRST_LIST : CallPace.AGENT_TIMEOUT_MS * 1_000;
             loop.execute(() -> loop.at(loop.now() + first, () -> ready("no word from discovery yet")));
         }
     }
@@ -236,8 +236,8 @@
     /** Danger: the process before this one may hold the address until it ends; nothing waits for that. */
     private void hearPeers() {
         try {
-            peers = new PeerPort(loop, config.peers, core::heard);
-            core.peers(peers::tell);
+            peers = new PeerPort(loop, config.peers, core::receivedFromPeer);
+            core.setPeerSender(peers::broadcast);
             LOG.log(Level.INFO, "{0} hears other nodes at {1}", new Object[] {config.name, config.peers.listen()});
         } catch (IOException e) {
             LOG.log(Level.FINE, "{0} can''t hear other nodes yet: {1}", new Object[] {config.name, e});
@@ -276,7 +276,7 @@
                 "{0}: last minute {1}; now {2} open, {3} connections, {4} MB of heap, {5} kB of bodies",
                 new Object[] {
                     config.name,
-                    core.tally().answersSince(),
+                    core.statistics().summarySinceLastCall(),
                     core.openRequests(),
                     transport.connections(),
                     (jvm.totalMemory() - jvm.freeMemory()) >> 20,
@@ -285,7 +285,7 @@
         loop.at(loop.now() + MINUTE, this::tellMinute);
     }
 
-    private void heard(Listing listing) {
+    private void heard(WorkerListing listing) {
         fleet.tell(listing.whole() ? ListKind.WHOLE : ListKind.CHANGES, listing);
         String why = "list " + listing.index() + " heard";
         if (!opened) {
@@ -295,7 +295,7 @@
     }
 
     private void watchFailed() {
-        core.listed(ListKind.FAILED, List.of(), Map.of());
+        core.updateWorkers(ListKind.FAILED, List.of(), Map.of());
     }
 
     private void ready(String why) {
@@ -370,7 +370,7 @@
     }
 
     private String contracts() {
-        return gate.text("http") + (faktory == null ? "" : faktory.gate().text("faktory")) + "eof\n";
+        return gate.describe("http") + (faktory == null ? "" : faktory.gate().describe("faktory")) + "eof\n";
     }
 
     /** Gives what keeps the contracts from being replaced; null for nothing. */
--- a/src/main/java/gorserill/program/NodeConfig.java
+++ b/src/main/java/gorserill/program/NodeConfig.java
@@ -9,8 +9,8 @@
 import com.fasterxml.jackson.core.JsonToken;
 import gorserill.contract.Contract;
 import gorserill.contract.JobRule;
-import gorserill.protocol.ClassTerms;
-import gorserill.protocol.discovery.Listing;
+import gorserill.protocol.JobClassInfo;
+import gorserill.protocol.discovery.WorkerListing;
 import gorserill.protocol.faktory.FaktoryTerms;
 import gorserill.protocol.http.LoadNames;
 import gorserill.protocol.peers.PeerPort;
@@ -55,7 +55,7 @@
     /** Where files outlast the process; null where nowhere. */
     final Path folder;
     /** Null where the node was told none. */
-    final Listing known;
+    final WorkerListing known;
 
     final Settings settings;
     final List<String> classNames;
@@ -84,7 +84,7 @@
     private final Map<String, String> values;
 
     private NodeConfig(
-            Map<String, String> top, Map<String, String> values, Listing known, Map<String, String> environment)
+            Map<String, String> top, Map<String, String> values, WorkerListing known, Map<String, String> environment)
             throws ConfigException {
         this.values = values;
         this.known = known;
@@ -162,7 +162,7 @@
         }
         Map<String, String> top = new LinkedHashMap<>();
         Map<String, String> settings = null;
-        Listing known = null;
+        WorkerListing known = null;
         String key = file;
         try (JsonParser json = new JsonFactory().createParser(Files.readString(Path.of(file)))) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
@@ -174,7 +174,7 @@
                 if (key.equals("settings")) {
                     settings = Flattener.flatten(json);
                 } else if (key.equals("known") && value != JsonToken.VALUE_NULL) {
-                    known = Listing.read(json);
+                    known = WorkerListing.read(json);
                 } else {
                     String at = key;
                     Flattener.flatten(json)
@@ -255,13 +255,13 @@
     }
 
     /** What the fronts need to know of the classes, by name. */
-    Map<String, ClassTerms> classTerms() {
-        Map<String, ClassTerms> terms = new LinkedHashMap<>();
+    Map<String, JobClassInfo> classTerms() {
+        Map<String, JobClassInfo> terms = new LinkedHashMap<>();
         for (int c = 0; c < classNames.size(); c++) {
             JobClass of = settings.classes().get(c);
             terms.put(
                     classNames.get(c),
-                    new ClassTerms(c, of.deadline(), of.effect() == Effect.KEYED, of.effect() == Effect.UNSAFE));
+                    new JobClassInfo(c, of.deadline(), of.effect() == Effect.KEYED, of.effect() == Effect.UNSAFE));
         }
         return terms;
     }
--- a/src/main/java/gorserill/program/OperatorCalls.java
+++ b/src/main/java/gorserill/program/OperatorCalls.java
@@ -1,7 +1,7 @@
 package gorserill.program;
 
-import gorserill.protocol.admin.AdminFront;
-import gorserill.protocol.admin.AdminFront.Call;
+import gorserill.protocol.admin.AdminFrontend;
+import gorserill.protocol.admin.AdminFrontend.Call;
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
@@ -41,22 +41,22 @@
         return Map.of(
                 "contract", about -> contracts.get(),
                 "reload",
-                        new AdminFront.Later((about, to) ->
-                                reload.accept(fault -> to.accept(AdminFront.answer(fault == null, fault)))),
+                        new AdminFrontend.DeferredCall((about, to) ->
+                                reload.accept(fault -> to.accept(AdminFrontend.reply(fault == null, fault)))),
                 "cluster",
-                        new AdminFront.Later((about, to) -> {
+                        new AdminFrontend.DeferredCall((about, to) -> {
                             if (cluster == null) {
-                                to.accept(AdminFront.answer(false, "this node is no member of a cluster"));
+                                to.accept(AdminFrontend.reply(false, "this node is no member of a cluster"));
                             } else {
                                 cluster.call(about, to);
                             }
                         }),
-                "readyz", about -> AdminFront.answer(life.up(), "it does not serve yet, or no more"),
+                "readyz", about -> AdminFrontend.reply(life.up(), "it does not serve yet, or no more"),
                 "telemetry", about -> figures.text(),
                 "diagnostics", about -> figures.diagnostics(),
                 "exclude", worker -> maintain(worker, true),
                 "include", worker -> maintain(worker, false),
-                "evacuate", new AdminFront.Later((about, to) -> evacuate(to)),
+                "evacuate", new AdminFrontend.DeferredCall((about, to) -> evacuate(to)),
                 "activate",
                         about -> done(() -> {
                             life.activate();
@@ -76,17 +76,17 @@
             if (whyNot == null) {
                 life.evacuate();
             }
-            to.accept(AdminFront.answer(whyNot == null, whyNot));
+            to.accept(AdminFrontend.reply(whyNot == null, whyNot));
         });
     }
 
     private String maintain(String worker, boolean out) {
         String whyNot = maintenance.set(worker, out);
-        return AdminFront.answer(whyNot == null, whyNot);
+        return AdminFrontend.reply(whyNot == null, whyNot);
     }
 
     private static String done(Runnable what) {
         what.run();
-        return AdminFront.answer(true, null);
+        return AdminFrontend.reply(true, null);
     }
 }
--- a/src/main/java/gorserill/program/WarmUp.java
+++ b/src/main/java/gorserill/program/WarmUp.java
@@ -7,12 +7,12 @@
 import barrowflow.Dispatcher.WorkerState;
 import gorserill.common.Loop;
 import gorserill.protocol.http.HttpExercise;
-import gorserill.routing.Ask;
 import gorserill.routing.Attempt;
 import gorserill.routing.Core;
-import gorserill.routing.Front;
+import gorserill.routing.JobSpec;
 import gorserill.routing.Load;
-import gorserill.routing.Work;
+import gorserill.routing.RequestOptions;
+import gorserill.routing.ResponseHandler;
 import gorserill.routing.WorkerPort;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -43,12 +43,12 @@
         Deque<Attempt> sent = new ArrayDeque<>();
         WorkerPort port = new WorkerPort() {
             @Override
-            public void start(Attempt attempt, Work work, long expires) {
+            public void start(Attempt attempt, JobSpec work, long expires) {
                 sent.add(attempt);
             }
 
             @Override
-            public boolean callOff(Attempt attempt) {
+            public boolean abort(Attempt attempt) {
                 return true;
             }
         };
@@ -56,7 +56,7 @@
         for (long id = 1; id <= WORKERS; id++) {
             ports.put(id, port);
         }
-        core.listed(
+        core.updateWorkers(
                 ListKind.WHOLE,
                 ports.keySet().stream()
                         .map(id -> new Worker(id, 0, settings.zone(), 0, WorkerState.READY, 0))
@@ -64,10 +64,10 @@
                 ports);
         Counter counter = new Counter();
         for (int i = 0; i < ROUNDS; i++) {
-            core.take(
+            core.submit(
                     counter,
-                    new Work("w", i % settings.classes().size(), "/", "k", null, new byte[0]),
-                    new Ask(loop.now(), 1_000_000, false, 0, 0, 1, 0));
+                    new JobSpec("w", i % settings.classes().size(), "/", "k", null, new byte[0]),
+                    new RequestOptions(loop.now(), 1_000_000, false, 0, 0, 1, 0));
             nanos[0] += ROUND_NANOS;
             loop.runDue();
             for (Attempt attempt = sent.poll(); attempt != null; attempt = sent.poll()) {
@@ -78,7 +78,7 @@
         return counter.answers;
     }
 
-    private static final class Counter implements Front {
+    private static final class Counter implements ResponseHandler {
         private int answers;
 
         @Override
--- a/src/main/java/gorserill/protocol/Patience.java
+++ b/src/main/java/gorserill/protocol/ClientWaitTracker.java
@@ -10,7 +10,7 @@
  * <p>Danger: the longest ever seen would do for one odd client that waits longer than all others, and make
  * everybody else doubtful for good.
  */
-public final class Patience {
+public final class ClientWaitTracker {
     private static final int LAST = 64;
     /** Of the last jobs as many as this part may be repeats, and the usual time still be a first try's. */
     private static final double REPEATS = 0.8;
@@ -24,7 +24,7 @@
     private long usual;
 
     /** Takes note of how long a client waits, in microseconds; true where that is less than usual. */
-    public boolean less(long wait) {
+    public boolean isShorterThanUsual(long wait) {
         last[count++ % LAST] = wait;
         if (count % SORT_EVERY == 0 || count < SORT_EVERY) {
             long[] sorted = Arrays.copyOf(last, Math.min(count, LAST));
--- a/src/main/java/gorserill/protocol/Gate.java
+++ b/src/main/java/gorserill/protocol/ContractGate.java
@@ -11,12 +11,12 @@
 import gorserill.contract.Versions;
 import gorserill.contract.Versions.Admission;
 import gorserill.contract.Versions.Version;
-import gorserill.routing.Bond;
+import gorserill.routing.JobContract;
 import java.util.List;
 import java.util.function.Function;
 
 /** Where a front holds its requests against its contract, and what binds those that it lets in. */
-public final class Gate {
+public final class ContractGate {
     private final Loop loop;
     private final Versions versions;
     private final ThrottledWarnings complaints;
@@ -25,14 +25,14 @@
      * @param repeatsFor how long a version of the contract knows its repeats after its end, microseconds
      * @param complaints hears of workers' answers that are not as described
      */
-    public Gate(Loop loop, long repeatsFor, ThrottledWarnings complaints) {
+    public ContractGate(Loop loop, long repeatsFor, ThrottledWarnings complaints) {
         this.loop = loop;
         this.complaints = complaints;
         versions = new Versions(repeatsFor);
     }
 
     /** Whether there is a contract. */
-    public boolean on() {
+    public boolean hasContract() {
         return versions.current() != null;
     }
 
@@ -42,12 +42,12 @@
     }
 
     /** The version in force and those still needed, newest first. */
-    public List<Version> kept() {
+    public List<Version> retainedVersions() {
         return versions.kept();
     }
 
     /** A line for each version, the one in force first. */
-    public String text(String front) {
+    public String describe(String front) {
         StringBuilder text = new StringBuilder();
         for (Version version : versions.kept()) {
             Contract contract = version.contract();
@@ -81,13 +81,13 @@
     }
 
     /** What binds a request that was let in; to be given to the core at once. */
-    public Bond bind(Admission admission, String id) {
+    public JobContract bind(Admission admission, String id) {
         versions.taken(admission);
         return new Held(admission.version(), admission.verdict(), id);
     }
 
     /** Keeps the version that a request was taken under, whatever is put in force while it is open. */
-    private final class Held implements Bond {
+    private final class Held implements JobContract {
         private final Version version;
         private final Verdict verdict;
         private final String id;
@@ -104,7 +104,7 @@
         }
 
         @Override
-        public boolean accepts(byte[] result) {
+        public boolean acceptsResult(byte[] result) {
             Operation operation = verdict.operation();
             Answers answers = operation.terms().answers().value();
             String fault = answers == Answers.OFF ? null : Door.fault(operation, result == null ? new byte[0] : result);
@@ -117,7 +117,7 @@
         }
 
         @Override
-        public void over() {
+        public void release() {
             versions.over(version, loop.now());
         }
     }
--- a/src/main/java/gorserill/protocol/ClassTerms.java
+++ b/src/main/java/gorserill/protocol/JobClassInfo.java
@@ -8,4 +8,4 @@
  * @param keyed whether its jobs carry a key that workers tell repeats by
  * @param unsafe whether its jobs must never run twice
  */
-public record ClassTerms(int index, long deadline, boolean keyed, boolean unsafe) {}
+public record JobClassInfo(int index, long deadline, boolean keyed, boolean unsafe) {}
--- a/src/main/java/gorserill/protocol/Tenants.java
+++ b/src/main/java/gorserill/protocol/Tenants.java
@@ -14,7 +14,7 @@
 public final class Tenants {
     private static final Logger LOG = Logger.getLogger(Tenants.class.getName());
     /** The place of whoever the settings do not name. */
-    public static final int REST = -1;
+    public static final int UNLISTED = -1;
 
     private final Map<String, Integer> places = new HashMap<>();
     private boolean toldMissing;
@@ -27,8 +27,8 @@
         }
     }
 
-    /** The place among the settings' tenants of what a request says, or {@link #REST}. */
-    public int place(String said) {
+    /** The place among the settings' tenants of what a request says, or {@link #UNLISTED}. */
+    public int indexOf(String said) {
         if (places.isEmpty()) {
             return 0;
         }
@@ -47,6 +47,6 @@
                     "a job names a tenant that the settings do not: {0}; such jobs take only " + "what is left over",
                     said.length() > 64 ? said.substring(0, 64) : said);
         }
-        return REST;
+        return UNLISTED;
     }
 }
--- a/src/main/java/gorserill/protocol/admin/AdminFront.java
+++ b/src/main/java/gorserill/protocol/admin/AdminFrontend.java
@@ -17,8 +17,8 @@
  * that starts with {@code ok} or {@code fail}, or the figures. Whoever says nothing, or no whole line, hears
  * so within a second.
  */
-public final class AdminFront {
-    private static final Logger LOG = Logger.getLogger(AdminFront.class.getName());
+public final class AdminFrontend {
+    private static final Logger LOG = Logger.getLogger(AdminFrontend.class.getName());
     private static final String OK = "ok\n";
     /** A call must be whole so long after connecting; answers are due within a second. */
     private static final long WHOLE_CALL = 600_000;
@@ -46,7 +46,7 @@
     }
 
     /** Something that is carried out elsewhere, whose answer comes later. */
-    public record Later(BiConsumer<String, Consumer<String>> what) implements Call {
+    public record DeferredCall(BiConsumer<String, Consumer<String>> action) implements Call {
         @Override
         public String answer(String about) {
             throw new UnsupportedOperationException("its answer comes later");
@@ -54,7 +54,7 @@
 
         @Override
         public void answer(String about, Consumer<String> to) {
-            what.accept(about, to);
+            action.accept(about, to);
         }
     }
 
@@ -63,14 +63,14 @@
     private final ThrottledWarnings complaints;
 
     /** @param calls by name */
-    public AdminFront(Loop loop, Map<String, Call> calls) {
+    public AdminFrontend(Loop loop, Map<String, Call> calls) {
         this.loop = loop;
         this.calls = Map.copyOf(calls);
         complaints = new ThrottledWarnings(loop, LOG, "operators' calls");
     }
 
     /** The answer to a call that was carried out, or cannot be. */
-    public static String answer(boolean done, String whyNot) {
+    public static String reply(boolean done, String whyNot) {
         return done ? OK : fail(whyNot);
     }
 
--- a/src/main/java/gorserill/protocol/discovery/CallPace.java
+++ b/src/main/java/gorserill/protocol/discovery/CallPace.java
@@ -21,9 +21,9 @@
     /** Kept of that for a new connection, the call on it and its turn. */
     private static final long RELEARN = 1_500;
     /** An agent on the node's own machine has answered by then, or never will. */
-    public static final long AGENT = 1_500;
+    public static final long AGENT_TIMEOUT_MS = 1_500;
     /** A connection to discovery is up by then, or never will be. */
-    public static final long CONNECT_TIMEOUT = 1_000;
+    public static final long CONNECT_TIMEOUT_MS = 1_000;
     /** A call that failed after so long has waited for its turn, or for a connection, and need not rest as well. */
     private static final long QUEUED = 1_000;
     /** Rests grow with the number of nodes, so that the calls of all together do not. */
@@ -67,7 +67,7 @@
      * Danger: what an agent beside the node has counts as told from the node's first moment; a call for what
      * is new would leave open whether there is nothing new or nothing heard.
      */
-    public boolean startsWhole() {
+    public boolean startsWithFullList() {
         return pushed;
     }
 
@@ -78,9 +78,9 @@
      * callers in turn, before the earliest of those times. An agent that lists are pushed to answers at once
      * what need not wait, and its word counts as told 4 s after a move to it: it is asked again within that.
      */
-    public long patience(long wait) {
+    public long answerTimeout(long wait) {
         if (wait == 0 && pushed) {
-            return AGENT;
+            return AGENT_TIMEOUT_MS;
         }
         if (lastSilent) {
             return wait + AFTER_SILENCE;
@@ -89,7 +89,7 @@
     }
 
     /** How long the next watch waits for news: after a failed call only briefly, so that it is soon known to work. */
-    public long nextWait() {
+    public long nextWatchWait() {
         if (lastSilent) {
             return 0;
         } else if (lastFailed) {
@@ -107,7 +107,7 @@
      * together, as after a fault, would all call in the same moment, more than the service answers in the time
      * that it lets a call wait.
      */
-    public long firstRest() {
+    public long initialDelay() {
         return rests() ? random.nextLong(longestRest()) : 0;
     }
 
@@ -120,7 +120,7 @@
     }
 
     /** A call was answered. */
-    public void answered() {
+    public void recordAnswer() {
         lastFailed = false;
         lastSilent = false;
     }
@@ -130,7 +130,7 @@
      * has waited too long costs the service as much as one that it answers. Where the retries of many nodes fill its
      * time none of them is ever answered; so all of theirs together must leave it some.
      */
-    public long turnedAway() {
+    public long delayAfterTurnedAway() {
         lastFailed = true;
         lastSilent = false;
         return rests() ? longestRest() / 2 + random.nextLong(longestRest() / 2) : 0;
@@ -143,14 +143,14 @@
      *
      * @param milliseconds since the call, its connection included, was begun
      */
-    public boolean failed(long milliseconds) {
+    public boolean retryAtOnceAfterFailure(long milliseconds) {
         lastFailed = true;
         lastSilent = false;
         return milliseconds >= QUEUED;
     }
 
     /** A call was not answered in its time; the next one goes out at once. */
-    public void silent() {
+    public void recordSilence() {
         lastFailed = true;
         lastSilent = true;
     }
--- a/src/main/java/gorserill/protocol/discovery/Listing.java
+++ b/src/main/java/gorserill/protocol/discovery/WorkerListing.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /** What discovery answers: the whole list of workers, or changes to it. */
-public record Listing(long index, boolean whole, List<Entry> entries) {
+public record WorkerListing(long index, boolean whole, List<Entry> entries) {
 
     /** A worker as listed; {@code since} in milliseconds of Unix time, 0 for long ago. */
     public record Entry(String name, String address, String zone, String type, int group, String status, long since) {}
 
     /** Reads a listing whose opening brace is the parser's present token. */
-    public static Listing read(JsonParser json) throws IOException {
+    public static WorkerListing read(JsonParser json) throws IOException {
         if (json.currentToken() != JsonToken.START_OBJECT) {
             throw new IOException("a listing that is not an object");
         }
@@ -38,7 +38,7 @@
         if (index < 0) {
             throw new IOException("a listing without index");
         }
-        return new Listing(index, whole, entries);
+        return new WorkerListing(index, whole, entries);
     }
 
     private static Entry entry(JsonParser json) throws IOException {
--- a/src/main/java/gorserill/protocol/faktory/FaktoryCodec.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktoryCodec.java
@@ -88,7 +88,7 @@
     }
 
     private void dropLine(State state) {
-        room.free(state.line.size());
+        room.release(state.line.size());
         state.line = new ByteArrayOutputStream();
     }
 
@@ -108,7 +108,7 @@
                 state.line = new ByteArrayOutputStream();
             } else if (state.line.size() >= MAX_LINE) {
                 throw new FrameException("a line of more than " + MAX_LINE + " bytes");
-            } else if (!room.take(1)) {
+            } else if (!room.tryReserve(1)) {
                 throw new FrameException("no room for more jobs at present");
             } else {
                 state.line.write(b);
--- a/src/main/java/gorserill/protocol/faktory/FaktoryFront.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktoryFront.java
@@ -13,17 +13,17 @@
 import gorserill.contract.Door;
 import gorserill.contract.Terms;
 import gorserill.contract.Versions.Admission;
-import gorserill.protocol.ClassTerms;
-import gorserill.protocol.ClientFront;
-import gorserill.protocol.Gate;
-import gorserill.protocol.Intake;
+import gorserill.protocol.ClientFrontend;
+import gorserill.protocol.ContractGate;
+import gorserill.protocol.IntakeMode;
+import gorserill.protocol.JobClassInfo;
 import gorserill.protocol.Tenants;
 import gorserill.protocol.faktory.FaktoryCodec.FrameException;
-import gorserill.routing.Ask;
-import gorserill.routing.Bond;
 import gorserill.routing.Core;
-import gorserill.routing.Front;
-import gorserill.routing.Work;
+import gorserill.routing.JobContract;
+import gorserill.routing.JobSpec;
+import gorserill.routing.RequestOptions;
+import gorserill.routing.ResponseHandler;
 import gorserill.transport.Channel;
 import gorserill.transport.Peer;
 import java.io.ByteArrayOutputStream;
@@ -52,7 +52,7 @@
  * The Faktory work protocol in front of the core: clients' PUSHes are requests, worker processes are workers.
  * There is no disk, so a PUSH is answered when its fate is known: +OK where it was served, else -ERR.
  */
-public final class FaktoryFront implements ClientFront {
+public final class FaktoryFront implements ClientFrontend {
     private static final Logger LOG = Logger.getLogger(FaktoryFront.class.getName());
     private static final int VERSION = 2;
     private static final int ITERATIONS = 1_545;
@@ -81,7 +81,7 @@
     private final MemoryBudget room;
     private final ThrottledWarnings complaints;
     private final Predicate<String> banned;
-    private final Gate gate;
+    private final ContractGate gate;
     private FaktoryTerms terms;
     private final SplittableRandom random;
     private final long startedAt;
@@ -101,7 +101,7 @@
     private long processed;
     private long failures;
     private long commands;
-    private Intake intake = Intake.OPEN;
+    private IntakeMode intake = IntakeMode.OPEN;
     private boolean dismissed;
 
     /** Whether a worker of that wid is here. */
@@ -150,7 +150,7 @@
             Core core,
             FaktoryTerms terms,
             Tenants tenants,
-            Gate gate,
+            ContractGate gate,
             long seed,
             MemoryBudget room,
             Predicate<String> banned) {
@@ -174,7 +174,7 @@
         gate.replace(changed.contract());
     }
 
-    public Gate gate() {
+    public ContractGate gate() {
         return gate;
     }
 
@@ -184,18 +184,18 @@
     }
 
     @Override
-    public void welcome(boolean clients) {
+    public void advertiseReady(boolean clients) {
         // The protocol has no word for it.
     }
 
     @Override
-    public void intake(Intake now) {
+    public void setIntakeMode(IntakeMode now) {
         intake = now;
     }
 
     /** From now on workers are told to end, and get nothing new. */
     @Override
-    public void dismiss() {
+    public void announceShutdown() {
         dismissed = true;
         for (Session session : List.copyOf(sessions)) {
             session.endFetch();
@@ -213,7 +213,7 @@
     }
 
     @Override
-    public boolean empty() {
+    public boolean hasNoClients() {
         return sessions.stream().allMatch(session -> session.member != null);
     }
 
@@ -224,7 +224,7 @@
         WorkerState state = out ? WorkerState.DRAINING : member.state;
         // Danger: no other node knows this worker, though its own guests have the same numbers.
         long name = nodeName ^ worker.id * 0x9e3779b97f4a7c15L;
-        core.guest(new Worker(worker.id, ANY_KIND, zone, 0, state, 0, name), worker);
+        core.updateRegisteredWorker(new Worker(worker.id, ANY_KIND, zone, 0, state, 0, name), worker);
     }
 
     private static String refusal(long waitMicros) {
@@ -313,7 +313,7 @@
                 waiting.add(line);
                 return;
             }
-            room.free(line.size());
+            room.release(line.size());
             if (!ended) {
                 refuse("more than " + MAX_WAITING + " commands without waiting for their replies", true);
             }
@@ -337,7 +337,7 @@
                             false);
                 }
                 if (push == null) {
-                    room.free(size);
+                    room.release(size);
                 }
             }
             if (!ended && push == null && fetch == null && member == null) {
@@ -433,7 +433,7 @@
                 return;
             }
             Admission admission = null;
-            if (gate.on()) {
+            if (gate.hasContract()) {
                 JsonNode unit = FaktoryJob.value(text);
                 admission = gate.admit(
                         true, contract -> Door.decide(contract, job.queue(), job.jobtype(), unit.get("custom"), unit));
@@ -442,7 +442,7 @@
                     return;
                 }
             }
-            ClassTerms of = terms.classOf(
+            JobClassInfo of = terms.classOf(
                     job,
                     admission == null
                             ? null
@@ -455,8 +455,8 @@
                 refuse("jobs for later are not kept here", false);
             } else if (of.keyed() && key == null) {
                 refuse("jobs of this class need custom.idempotency_key", false);
-            } else if (intake == Intake.CLOSED) {
-                refuse(refusal(core.turnedAway(of.index())), member == null);
+            } else if (intake == IntakeMode.CLOSED) {
+                refuse(refusal(core.countTurnedAway(of.index())), member == null);
             } else if (core.isOpen(job.jid())) {
                 refuse("job " + job.jid() + " is in progress", false);
             } else {
@@ -464,18 +464,18 @@
             }
         }
 
-        private void take(FaktoryJob job, String text, ClassTerms of, String key, Admission admission) {
+        private void take(FaktoryJob job, String text, JobClassInfo of, String key, Admission admission) {
             Terms told =
                     admission == null ? null : admission.verdict().operation().terms();
             long most = told == null ? of.deadline() : told.within(of.deadline());
             long left = job.remainingMs() < 0 ? most : Math.min(most, job.remainingMs() * 1_000);
             double slots = job.slots() >= 0 ? job.slots() : told == null ? 1 : told.usualSlots();
-            Bond bond = admission == null ? null : gate.bind(admission, job.jid());
+            JobContract bond = admission == null ? null : gate.bind(admission, job.jid());
             Push taken = new Push(this, job.jid(), of.unsafe() || bond != null && bond.effect() == Effect.UNSAFE, size);
             push = taken;
-            long handle = core.take(
+            long handle = core.submit(
                     taken,
-                    new Work(
+                    new JobSpec(
                             job.jid(),
                             of.index(),
                             null,
@@ -483,11 +483,11 @@
                             FaktoryJob.MEDIA_TYPE,
                             text.getBytes(StandardCharsets.UTF_8),
                             bond),
-                    new Ask(
+                    new RequestOptions(
                             loop.now(),
                             left,
                             false,
-                            tenants.place(job.tenant()),
+                            tenants.indexOf(job.tenant()),
                             0,
                             slots,
                             0,
@@ -610,7 +610,7 @@
         }
 
         private void forgetWaiting() {
-            waiting.forEach(line -> room.free(line.size()));
+            waiting.forEach(line -> room.release(line.size()));
             waiting.clear();
         }
 
@@ -638,7 +638,7 @@
     }
 
     /** A pushed job that waits for its one final answer. */
-    private final class Push implements Front {
+    private final class Push implements ResponseHandler {
         private final Session session;
         private final String jid;
         private final boolean unsafe;
@@ -673,7 +673,7 @@
         }
 
         @Override
-        public boolean left() {
+        public boolean clientLeft() {
             return session.channel.gone() || session.channel.behind();
         }
 
@@ -684,9 +684,9 @@
         }
 
         private void answer(byte[] reply) {
-            room.free(size);
+            room.release(size);
             session.push = null;
-            if (intake != Intake.OPEN && session.member == null) {
+            if (intake != IntakeMode.OPEN && session.member == null) {
                 session.lastWord(reply);
             } else {
                 session.channel.write(reply);
@@ -696,7 +696,7 @@
 
         /** The client has left without waiting; whether it ran nobody will be told. */
         void abandon() {
-            room.free(size);
+            room.release(size);
             if (core.withdraw(handle)) {
                 remember(false);
             }
--- a/src/main/java/gorserill/protocol/faktory/FaktoryJob.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktoryJob.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.core.StreamReadFeature;
 import com.fasterxml.jackson.databind.JsonNode;
 import gorserill.contract.schema.Check;
-import gorserill.routing.Work;
+import gorserill.routing.JobSpec;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -167,7 +167,7 @@
     }
 
     /** The work unit that a worker of this protocol gets for work of any origin. */
-    static byte[] unit(Work work, String queue, String jobtype) {
+    static byte[] unit(JobSpec work, String queue, String jobtype) {
         if (MEDIA_TYPE.equals(work.contentType())) {
             return work.body();
         }
@@ -187,8 +187,8 @@
             if (work.contentType() != null) {
                 json.writeStringField("content_type", work.contentType());
             }
-            if (work.effectKey() != null) {
-                json.writeStringField("idempotency_key", work.effectKey());
+            if (work.idempotencyKey() != null) {
+                json.writeStringField("idempotency_key", work.idempotencyKey());
             }
             json.writeEndObject();
             json.writeEndObject();
--- a/src/main/java/gorserill/protocol/faktory/FaktoryTerms.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktoryTerms.java
@@ -1,7 +1,7 @@
 package gorserill.protocol.faktory;
 
 import gorserill.contract.Contract;
-import gorserill.protocol.ClassTerms;
+import gorserill.protocol.JobClassInfo;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -23,7 +23,7 @@
         Map<String, String> queues,
         Map<String, String> jobtypes,
         List<String> classNames,
-        Map<String, ClassTerms> classes,
+        Map<String, JobClassInfo> classes,
         Contract contract) {
 
     /**
@@ -31,7 +31,7 @@
      *
      * @param described what its contract says; null where that says nothing
      */
-    ClassTerms classOf(FaktoryJob job, String described) {
+    JobClassInfo classOf(FaktoryJob job, String described) {
         String queued = described == null ? queues.get(job.queue()) : described;
         String name = jobtypes.getOrDefault(job.jobtype(), queued);
         return name == null ? null : classes.get(name);
--- a/src/main/java/gorserill/protocol/faktory/FaktoryWorker.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktoryWorker.java
@@ -4,8 +4,8 @@
 import gorserill.common.Deadlines.Deadline;
 import gorserill.common.Loop;
 import gorserill.routing.Attempt;
+import gorserill.routing.JobSpec;
 import gorserill.routing.Load;
-import gorserill.routing.Work;
 import gorserill.routing.WorkerPort;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -63,12 +63,12 @@
 
     private static final class Waiting {
         final Attempt attempt;
-        final Work work;
+        final JobSpec work;
         final String queue;
         final long reserveFor;
         Deadline end;
 
-        Waiting(Attempt attempt, Work work, String queue, long reserveFor) {
+        Waiting(Attempt attempt, JobSpec work, String queue, long reserveFor) {
             this.attempt = attempt;
             this.work = work;
             this.queue = queue;
@@ -100,7 +100,7 @@
     // ---- from the core ----
 
     @Override
-    public void start(Attempt attempt, Work work, long expires) {
+    public void start(Attempt attempt, JobSpec work, long expires) {
         String jid = work.id();
         // A word on a job is told apart by its jid alone, so a worker holds no two jobs of one.
         if (gone || reservations.containsKey(jid) || givenUp.contains(jid) || waiting.size() >= mostSlots) {
@@ -117,7 +117,7 @@
     }
 
     @Override
-    public boolean callOff(Attempt attempt) {
+    public boolean abort(Attempt attempt) {
         for (Iterator<Waiting> all = waiting.iterator(); all.hasNext(); ) {
             Waiting next = all.next();
             if (next.attempt == attempt) {
@@ -235,7 +235,7 @@
     private boolean reserve(Waiting next, Fetcher fetcher) {
         waiting.remove(next);
         loop.cancel(next.end);
-        if (!next.attempt.begins()) {
+        if (!next.attempt.tryBegin()) {
             loop.execute(() -> next.attempt.ended(Outcome.NOT_SENT, null, free(0)));
             return false;
         }
@@ -259,7 +259,7 @@
         return true;
     }
 
-    private Waiting waiting(Attempt attempt, Work work) {
+    private Waiting waiting(Attempt attempt, JobSpec work) {
         if (FaktoryJob.MEDIA_TYPE.equals(work.contentType())) {
             try {
                 FaktoryJob job = FaktoryJob.parse(new String(work.body(), StandardCharsets.UTF_8));
--- a/src/main/java/gorserill/protocol/http/DiscoveryCall.java
+++ b/src/main/java/gorserill/protocol/http/DiscoveryCall.java
@@ -5,7 +5,7 @@
 import gorserill.common.Deadlines.Deadline;
 import gorserill.common.Loop;
 import gorserill.protocol.discovery.CallPace;
-import gorserill.protocol.discovery.Listing;
+import gorserill.protocol.discovery.WorkerListing;
 import gorserill.transport.Channel;
 import gorserill.transport.Peer;
 import gorserill.transport.Transport;
@@ -32,7 +32,7 @@
         void opened(DiscoveryCall call);
 
         /** @param closes whether no other call can be made on the connection */
-        void answered(DiscoveryCall call, Listing listing, boolean closes);
+        void answered(DiscoveryCall call, WorkerListing listing, boolean closes);
 
         void turnedAway(DiscoveryCall call);
 
@@ -71,7 +71,7 @@
         this.number = number;
         begun = loop.now();
         connecting = transport.connect(address, chain, this);
-        deadline = loop.at(begun + CallPace.CONNECT_TIMEOUT * 1_000, () -> owner.failed(this, "no connection"));
+        deadline = loop.at(begun + CallPace.CONNECT_TIMEOUT_MS * 1_000, () -> owner.failed(this, "no connection"));
     }
 
     /** Makes the next call. */
@@ -101,7 +101,7 @@
         outdatedBelow = Math.max(outdatedBelow, version);
     }
 
-    boolean isOutdated(Listing listing) {
+    boolean isOutdated(WorkerListing listing) {
         return listing.index() < outdatedBelow;
     }
 
@@ -201,10 +201,10 @@
     }
 
     private void listed() {
-        Listing listing;
+        WorkerListing listing;
         try (JsonParser json = JSON.createParser(body.toByteArray())) {
             json.nextToken();
-            listing = Listing.read(json);
+            listing = WorkerListing.read(json);
         } catch (IOException e) {
             fail("an unreadable listing: " + e.getMessage());
             return;
--- a/src/main/java/gorserill/protocol/http/HttpCodec.java
+++ b/src/main/java/gorserill/protocol/http/HttpCodec.java
@@ -127,7 +127,7 @@
                 case DATA -> {
                     if (answers) {
                         out.add(state.reader.data());
-                    } else if (room.take(state.reader.data().length)) {
+                    } else if (room.tryReserve(state.reader.data().length)) {
                         state.body.writeBytes(state.reader.data());
                     } else {
                         throw new HttpException(503, "no room for more bodies at present");
@@ -147,7 +147,7 @@
 
     private void dropBody(State state) {
         if (room != null) {
-            room.free(state.body.size());
+            room.release(state.body.size());
         }
         state.body = new ByteArrayOutputStream();
     }
--- a/src/main/java/gorserill/protocol/http/HttpFront.java
+++ b/src/main/java/gorserill/protocol/http/HttpFront.java
@@ -8,16 +8,16 @@
 import gorserill.contract.Problem;
 import gorserill.contract.Terms;
 import gorserill.contract.Versions.Admission;
-import gorserill.protocol.ClassTerms;
-import gorserill.protocol.ClientFront;
-import gorserill.protocol.Gate;
-import gorserill.protocol.Intake;
-import gorserill.protocol.Patience;
+import gorserill.protocol.ClientFrontend;
+import gorserill.protocol.ClientWaitTracker;
+import gorserill.protocol.ContractGate;
+import gorserill.protocol.IntakeMode;
+import gorserill.protocol.JobClassInfo;
 import gorserill.protocol.Tenants;
-import gorserill.routing.Ask;
 import gorserill.routing.Core;
-import gorserill.routing.Front;
-import gorserill.routing.Work;
+import gorserill.routing.JobSpec;
+import gorserill.routing.RequestOptions;
+import gorserill.routing.ResponseHandler;
 import gorserill.transport.Channel;
 import gorserill.transport.Peer;
 import java.nio.charset.StandardCharsets;
@@ -32,7 +32,7 @@
 import java.util.logging.Logger;
 
 /** The platform's front: clients' requests over HTTP become the core's, and its answers HTTP's. */
-public final class HttpFront implements ClientFront {
+public final class HttpFront implements ClientFrontend {
     private static final Logger LOG = Logger.getLogger(HttpFront.class.getName());
     private static final byte[] NOTHING = {};
     private static final int MAX_WAITING = 16;
@@ -50,15 +50,15 @@
 
     private final Loop loop;
     private final Core core;
-    private final Map<String, ClassTerms> classes;
+    private final Map<String, JobClassInfo> classes;
     private final Tenants tenants;
-    private final Gate gate;
+    private final ContractGate gate;
     private final MemoryBudget room;
     private final ThrottledWarnings complaints;
-    private final Map<Integer, Patience> patience = new HashMap<>();
+    private final Map<Integer, ClientWaitTracker> patience = new HashMap<>();
     private final Set<Client> clients = new HashSet<>();
     private boolean ready;
-    private Intake intake = Intake.OPEN;
+    private IntakeMode intake = IntakeMode.OPEN;
 
     /**
      * @param tenants what {@code X-Org} can name
@@ -66,7 +66,12 @@
      * @param room in which the codec keeps bodies; freed here when a request is over
      */
     public HttpFront(
-            Loop loop, Core core, Map<String, ClassTerms> classes, Tenants tenants, Gate gate, MemoryBudget room) {
+            Loop loop,
+            Core core,
+            Map<String, JobClassInfo> classes,
+            Tenants tenants,
+            ContractGate gate,
+            MemoryBudget room) {
         this.loop = loop;
         this.core = core;
         this.classes = classes;
@@ -83,12 +88,12 @@
 
     /** Whether {@code /healthz} says 200. */
     @Override
-    public void welcome(boolean clients) {
+    public void advertiseReady(boolean clients) {
         ready = clients;
     }
 
     @Override
-    public void intake(Intake now) {
+    public void setIntakeMode(IntakeMode now) {
         intake = now;
     }
 
@@ -100,16 +105,16 @@
     }
 
     @Override
-    public void dismiss() {
+    public void announceShutdown() {
         // Nobody works for the node at this front.
     }
 
     @Override
-    public boolean empty() {
+    public boolean hasNoClients() {
         return clients.isEmpty();
     }
 
-    private final class Client implements Peer, Front {
+    private final class Client implements Peer, ResponseHandler {
         private final Deque<HttpRequest> waiting = new ArrayDeque<>();
         private Channel channel;
         private HttpRequest current;
@@ -126,7 +131,7 @@
         public void opened(Channel opened) {
             channel = opened;
             clients.add(this);
-            deadline = loop.at(loop.now() + (intake == Intake.CLOSED ? BRIEF : WHOLE_REQUEST), this::late);
+            deadline = loop.at(loop.now() + (intake == IntakeMode.CLOSED ? BRIEF : WHOLE_REQUEST), this::late);
         }
 
         /** Danger: what was begun has come, so its client is owed a word. */
@@ -144,13 +149,13 @@
         public void received(Object messages) {
             for (Object message : (List<Object>) messages) {
                 if (ending) {
-                    room.free(message instanceof HttpRequest late ? late.body().length : 0);
+                    room.release(message instanceof HttpRequest late ? late.body().length : 0);
                 } else if (message == BEGUN) {
                     begun();
                 } else if (message instanceof HttpException broken) {
                     cutOff(broken.status(), broken.getMessage());
                 } else if (waiting.size() >= MAX_WAITING) {
-                    room.free(((HttpRequest) message).body().length);
+                    room.release(((HttpRequest) message).body().length);
                     cutOff(400, "more than " + MAX_WAITING + " requests without waiting for their answers");
                 } else {
                     begun = false;
@@ -161,9 +166,9 @@
         }
 
         private void begun() {
-            if (!begun && (proven || intake != Intake.OPEN) && current == null && waiting.isEmpty()) {
+            if (!begun && (proven || intake != IntakeMode.OPEN) && current == null && waiting.isEmpty()) {
                 loop.cancel(deadline);
-                deadline = loop.at(loop.now() + (intake == Intake.OPEN ? WHOLE_REQUEST : BRIEF), this::late);
+                deadline = loop.at(loop.now() + (intake == IntakeMode.OPEN ? WHOLE_REQUEST : BRIEF), this::late);
             }
             begun = true;
         }
@@ -201,12 +206,12 @@
 
         private void forgetAll() {
             forgetCurrent();
-            waiting.forEach(request -> room.free(request.body().length));
+            waiting.forEach(request -> room.release(request.body().length));
             waiting.clear();
         }
 
         private void forgetCurrent() {
-            room.free(current == null ? 0 : current.body().length);
+            room.release(current == null ? 0 : current.body().length);
             current = null;
         }
 
@@ -223,7 +228,7 @@
             String path = head.second().split("\\?", 2)[0];
             if (path.equals("/healthz") && head.first().equals("GET")) {
                 respond(HttpWriter.answer(ready ? 200 : 503), NOTHING);
-            } else if (gate.on()) {
+            } else if (gate.hasContract()) {
                 byContract(request);
             } else if (!head.first().equals("POST")) {
                 reject(head.first().equals("GET") ? 404 : 405, "no such thing: " + head.first() + " " + path);
@@ -269,7 +274,7 @@
         /** @param admission by the contract; null where there is none */
         private void submit(HttpRequest request, String path, String jobClass, Admission admission) {
             HttpHead head = request.head();
-            ClassTerms terms = classes.get(jobClass);
+            JobClassInfo terms = classes.get(jobClass);
             String lane = head.header("x-lane");
             String id = head.header("x-txn");
             String learned = admission == null ? null : admission.verdict().key();
@@ -285,10 +290,10 @@
                 reject(409, "X-Txn is that of an open request");
             } else if (terms.keyed() && (effectKey == null || effectKey.isEmpty())) {
                 reject(400, "a job of class " + jobClass + " needs Idempotency-Key");
-            } else if (intake == Intake.CLOSED) {
-                refused(core.turnedAway(terms.index()));
+            } else if (intake == IntakeMode.CLOSED) {
+                refused(core.countTurnedAway(terms.index()));
             } else {
-                Ask ask;
+                RequestOptions ask;
                 try {
                     Labels labels = Labels.of(head);
                     Terms told = admission == null
@@ -297,13 +302,13 @@
                     long most = told == null ? terms.deadline() : told.within(terms.deadline());
                     double slots = told == null ? 1 : told.usualSlots();
                     boolean repeat = "1".equals(head.header("x-resent"));
-                    boolean less = patience.computeIfAbsent(terms.index(), c -> new Patience())
-                            .less(labels.remaining(terms.deadline()));
-                    ask = new Ask(
+                    boolean less = patience.computeIfAbsent(terms.index(), c -> new ClientWaitTracker())
+                            .isShorterThanUsual(labels.remaining(terms.deadline()));
+                    ask = new RequestOptions(
                             request.arrived(),
                             labels.remaining(most),
                             repeat,
-                            tenants.place(head.header("x-org")),
+                            tenants.indexOf(head.header("x-org")),
                             labels.key(),
                             labels.number("slots", "width", slots),
                             labels.number("memory", "ram_units", 0),
@@ -315,9 +320,9 @@
                 }
                 proven = true;
                 // The handle is known only when take() returns; the answer may come before that.
-                long taken = core.take(
+                long taken = core.submit(
                         this,
-                        new Work(
+                        new JobSpec(
                                 id,
                                 terms.index(),
                                 head.second(),
@@ -348,7 +353,7 @@
         }
 
         @Override
-        public boolean left() {
+        public boolean clientLeft() {
             // Danger: a close is seen behind what is still to be read.
             return channel.gone() || channel.behind();
         }
@@ -359,12 +364,12 @@
             forgetAll();
             // Under a contract all that is turned away hears so in one form.
             lastWord(HttpWriter.answer(status)
-                    .header("Content-Type", gate.on() ? Problem.MEDIA_TYPE : "text/plain")
+                    .header("Content-Type", gate.hasContract() ? Problem.MEDIA_TYPE : "text/plain")
                     .header("Allow", status == 405 ? "POST" : null)
                     .header("Retry-After", status == 503 ? 1 : null)
                     .header("Connection", "close")
                     .bytes(
-                            gate.on()
+                            gate.hasContract()
                                     ? Problem.of(status, HttpWriter.reason(status), why)
                                             .json()
                                     : why.getBytes(StandardCharsets.UTF_8)));
@@ -382,7 +387,7 @@
 
         private void respond(HttpWriter answer, byte[] body) {
             // Danger: a request that has come is owed an answer, also when the node drains.
-            boolean last = intake != Intake.OPEN && waiting.isEmpty()
+            boolean last = intake != IntakeMode.OPEN && waiting.isEmpty()
                     || current != null && current.head().closes();
             byte[] message = answer.header("Connection", last ? "close" : null).bytes(body);
             forgetCurrent();
--- a/src/main/java/gorserill/protocol/http/HttpWatch.java
+++ b/src/main/java/gorserill/protocol/http/HttpWatch.java
@@ -2,8 +2,8 @@
 
 import gorserill.common.Loop;
 import gorserill.protocol.discovery.CallPace;
-import gorserill.protocol.discovery.Listing;
 import gorserill.protocol.discovery.WatchStatistics;
+import gorserill.protocol.discovery.WorkerListing;
 import gorserill.transport.Transport;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -36,7 +36,7 @@
     private final Loop loop;
     private final Transport transport;
     private final FilterChain chain;
-    private final Consumer<Listing> heard;
+    private final Consumer<WorkerListing> heard;
     private final Runnable failed;
     private final CallPace pace;
     private final WatchStatistics statistics = new WatchStatistics();
@@ -65,7 +65,7 @@
             FilterChain chain,
             InetSocketAddress address,
             CallPace pace,
-            Consumer<Listing> heard,
+            Consumer<WorkerListing> heard,
             Runnable failed) {
         this.pace = pace;
         this.loop = loop;
@@ -101,8 +101,8 @@
      * takes its callers in turn busy with what they know, and each call that it turns away leaves a node
      * without a watch; so there it is asked for what is new since.
      */
-    public void knows(Listing known) {
-        if (!known.entries().isEmpty() && !pace.startsWhole()) {
+    public void knows(WorkerListing known) {
+        if (!known.entries().isEmpty() && !pace.startsWithFullList()) {
             index = known.index();
             whole = false;
         }
@@ -112,7 +112,7 @@
     public void start() {
         if (!started) {
             started = true;
-            restsUntil = loop.now() + (whole ? 0 : pace.firstRest() * 1_000);
+            restsUntil = loop.now() + (whole ? 0 : pace.initialDelay() * 1_000);
         }
         if (loop.now() < restsUntil) {
             loop.at(restsUntil, this::start);
@@ -123,9 +123,9 @@
     }
 
     private void ask() {
-        long wait = whole ? 0 : pace.nextWait();
+        long wait = whole ? 0 : pace.nextWatchWait();
         String target = "/v1/servers" + (whole ? "" : "?index=" + index + "&wait=" + wait);
-        call.ask(target, pace.patience(wait));
+        call.ask(target, pace.answerTimeout(wait));
     }
 
     /** Another call takes the place of the one at hand, which is read on if discovery has it. */
@@ -174,7 +174,7 @@
         }
 
         @Override
-        public void answered(DiscoveryCall its, Listing listing, boolean closes) {
+        public void answered(DiscoveryCall its, WorkerListing listing, boolean closes) {
             if (its != call) {
                 answeredLate(its, listing);
                 return;
@@ -190,7 +190,7 @@
                 whole = true;
             }
             eagerUntil = 0;
-            pace.answered();
+            pace.recordAnswer();
             statistics.countAnswered();
             finishSuperseded();
             if (closes) {
@@ -205,7 +205,7 @@
         }
 
         /** Danger: what it tells counts as told, whichever call is the present one. */
-        private void answeredLate(DiscoveryCall its, Listing listing) {
+        private void answeredLate(DiscoveryCall its, WorkerListing listing) {
             drop(its);
             if (listing.index() <= index) {
                 return;
@@ -234,7 +234,7 @@
             }
             statistics.countTurnedAway();
             LOG.log(Level.WARNING, "discovery: the watch was turned away: {0} ends", its.describe());
-            restsUntil = loop.now() < eagerUntil ? loop.now() : loop.now() + pace.turnedAway() * 1_000;
+            restsUntil = loop.now() < eagerUntil ? loop.now() : loop.now() + pace.delayAfterTurnedAway() * 1_000;
             endCall();
             fallBack();
         }
@@ -247,7 +247,7 @@
         public void silent(DiscoveryCall its) {
             statistics.countSilent();
             LOG.log(Level.WARNING, "discovery: no answer, the watch is opened anew: {0} has none", its.describe());
-            pace.silent();
+            pace.recordSilence();
             supersede();
             start();
         }
@@ -260,7 +260,7 @@
             }
             statistics.countFailed();
             LOG.log(Level.WARNING, "discovery: the watch failed: {0}: {1} ends", new Object[] {why, its.describe()});
-            boolean atOnce = pace.failed(its.waitedMillis());
+            boolean atOnce = pace.retryAtOnceAfterFailure(its.waitedMillis());
             endCall();
             if (atOnce) {
                 start();
--- a/src/main/java/gorserill/protocol/http/HttpWorker.java
+++ b/src/main/java/gorserill/protocol/http/HttpWorker.java
@@ -5,8 +5,8 @@
 import gorserill.common.Loop;
 import gorserill.common.ThrottledWarnings;
 import gorserill.routing.Attempt;
+import gorserill.routing.JobSpec;
 import gorserill.routing.Load;
-import gorserill.routing.Work;
 import gorserill.routing.WorkerPort;
 import gorserill.transport.Channel;
 import gorserill.transport.Peer;
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void start(Attempt attempt, Work work, long expires) {
+    public void start(Attempt attempt, JobSpec work, long expires) {
         // Danger: one that the worker has closed, of which word is on its way, would cost the job an attempt
         // and the worker its good name.
         idle.removeIf(Link::gone);
@@ -146,7 +146,7 @@
     }
 
     @Override
-    public boolean callOff(Attempt attempt) {
+    public boolean abort(Attempt attempt) {
         Link link = busy.get(attempt);
         return link == null || link.callOff();
     }
@@ -162,7 +162,7 @@
         private Channel.Sending sending;
         private Deadline deadline;
         private Attempt attempt;
-        private Work work;
+        private JobSpec work;
         private long expires;
         /** Not a byte of the attempt at hand has gone out. */
         private boolean unwritten;
@@ -196,7 +196,7 @@
             return terms.loop().now() - idleSince;
         }
 
-        void start(Attempt next, Work its, long until) {
+        void start(Attempt next, JobSpec its, long until) {
             before = work == null || work.id().equals(its.id()) ? null : work.id();
             named = false;
             attempt = next;
@@ -233,7 +233,7 @@
         }
 
         private void writeNow() {
-            if (!attempt.begins()) {
+            if (!attempt.tryBegin()) {
                 giveBack(idledFor >= 0);
                 return;
             }
@@ -248,8 +248,8 @@
                             .header("X-Txn", work.id())
                             .header("X-Lane", terms.classNames().get(work.jobClass()))
                             .header("X-Remaining-Ms", left)
-                            .header("Idempotency-Key", work.effectKey())
-                            .header("X-Fence", work.fence())
+                            .header("Idempotency-Key", work.idempotencyKey())
+                            .header("X-Fence", work.fencingToken())
                             .header("Content-Type", work.contentType())
                             .bytes(work.body()),
                     attempt::written);
@@ -408,7 +408,7 @@
             } else if (answer.status() >= 400 && answer.status() < 500) {
                 terms.complaints()
                         .add(Integer.toString(answer.status()), "worker " + name + ": request " + attempt.requestId());
-                finish(Attempt::unusable);
+                finish(Attempt::invalidJob);
             } else if (answer.status() != 200) {
                 boolean away = (answer.status() == 503 || answer.status() == 504)
                         && "1".equals(answer.header("x-turned-away"));
--- a/src/main/java/gorserill/protocol/peers/PeerPort.java
+++ b/src/main/java/gorserill/protocol/peers/PeerPort.java
@@ -16,15 +16,16 @@
 public final class PeerPort {
     private static final Logger LOG = Logger.getLogger(PeerPort.class.getName());
     /** Bytes; a longer message breaks the platform's rules, so none is ever sent. */
-    public static final int MOST = 256;
+    public static final int MAX_MESSAGE_BYTES = 256;
 
     /**
      * @param listen where this node's messages come in
-     * @param all where a message to every other node goes
+     * @param broadcast where a message to every other node goes
      * @param nodes the address that each node's messages come from, by the nodes' numbers
-     * @param me this node's number, whose own messages are not for it
+     * @param self this node's number, whose own messages are not for it
      */
-    public record Addresses(InetSocketAddress listen, InetSocketAddress all, List<InetSocketAddress> nodes, int me) {}
+    public record Addresses(
+            InetSocketAddress listen, InetSocketAddress broadcast, List<InetSocketAddress> nodes, int self) {}
 
     private final Addresses addresses;
     private final Datagrams datagrams;
@@ -41,14 +42,14 @@
         this.addresses = addresses;
         this.heard = heard;
         complaints = new ThrottledWarnings(loop, LOG, "messages of other nodes dropped");
-        datagrams = new Datagrams(loop, addresses.listen(), MOST + 1, this::arrived);
+        datagrams = new Datagrams(loop, addresses.listen(), MAX_MESSAGE_BYTES + 1, this::arrived);
     }
 
     private void arrived(InetSocketAddress from, byte[] message) {
         int node = addresses.nodes().indexOf(from);
-        if (node < 0 || node == addresses.me()) {
+        if (node < 0 || node == addresses.self()) {
             complaints.add("foreign", "from " + from);
-        } else if (message.length > MOST) {
+        } else if (message.length > MAX_MESSAGE_BYTES) {
             complaints.add("too long", "from " + from);
         } else {
             received++;
@@ -57,13 +58,13 @@
     }
 
     /** Sends every other node a message; one that is too long is not sent. */
-    public void tell(byte[] message) {
-        if (message.length > MOST) {
+    public void broadcast(byte[] message) {
+        if (message.length > MAX_MESSAGE_BYTES) {
             complaints.add("not sent", message.length + " bytes of our own");
             return;
         }
         sent++;
-        datagrams.send(addresses.all(), message);
+        datagrams.send(addresses.broadcast(), message);
     }
 
     /** Messages sent, each to all others. */
--- a/src/main/java/gorserill/routing/AdmissionControl.java
+++ b/src/main/java/gorserill/routing/AdmissionControl.java
@@ -4,7 +4,7 @@
 @FunctionalInterface
 public interface AdmissionControl {
     /** An attempt at a job is about to be made; whether it may be. A job's first one always may. */
-    default boolean attempt(boolean first) {
+    default boolean mayAttempt(boolean first) {
         return true;
     }
 
@@ -15,5 +15,5 @@
      * @param tenant its place in the settings' list; -1 where it is none of these
      * @return else microseconds after which it had better come again
      */
-    long enter(long now, int jobClass, int tenant);
+    long admissionDelay(long now, int jobClass, int tenant);
 }
--- a/src/main/java/gorserill/routing/Attempt.java
+++ b/src/main/java/gorserill/routing/Attempt.java
@@ -35,8 +35,8 @@
      * meanwhile the worker may have begun to drain, the client may have left, another attempt may have ended
      * the job, or the time may be over in which workers drop a repeat.
      */
-    public boolean begins() {
-        return core.begins(this);
+    public boolean tryBegin() {
+        return core.tryBegin(this);
     }
 
     /** A connection has to be opened for it; may be told from within {@link WorkerPort#start}. */
@@ -60,8 +60,8 @@
     }
 
     /** The worker can't use the job, whoever it is sent to: its client is at fault, and no worker. */
-    public void unusable() {
-        core.unusable(this);
+    public void invalidJob() {
+        core.invalidJob(this);
     }
 
     /** The client's id of the request, for logs. */
--- a/src/main/java/gorserill/routing/Core.java
+++ b/src/main/java/gorserill/routing/Core.java
@@ -10,7 +10,7 @@
 import barrowflow.Dispatcher.Worker;
 import barrowflow.Dispatcher.WorkerState;
 import gorserill.common.Loop;
-import gorserill.common.Siblings;
+import gorserill.common.SiblingProcesses;
 import gorserill.common.SlotTable;
 import gorserill.common.ThrottledWarnings;
 import java.util.ArrayList;
@@ -37,7 +37,7 @@
     private final Settings settings;
     private final Dispatcher module;
     private final Runnable watch;
-    private final Siblings siblings;
+    private final SiblingProcesses siblings;
     private final SlotTable<Request> requests = new SlotTable<>();
     /** The clients' own ids of the open requests. */
     private final Set<String> openIds = new HashSet<>();
@@ -50,22 +50,22 @@
     private final Set<Long> inService = new HashSet<>();
 
     private long lastNow;
-    private final Tally tally;
+    private final JobStatistics statistics;
     private int open;
-    private long answerBy = Long.MAX_VALUE;
+    private long setAnswerDeadline = Long.MAX_VALUE;
     private Runnable whenIdle;
-    private Consumer<byte[]> peers = message -> {};
-    private BooleanSupplier crowded = () -> false;
-    private AdmissionControl admission = (now, jobClass, tenant) -> 0;
+    private Consumer<byte[]> setPeerSender = message -> {};
+    private BooleanSupplier setDescriptorShortage = () -> false;
+    private AdmissionControl setAdmissionControl = (now, jobClass, tenant) -> 0;
     private final ThrottledWarnings complaints;
 
     /** The same for a process that has no siblings. */
     public Core(Loop loop, Settings settings, long seed, Runnable watch) {
-        this(loop, settings, seed, watch, Siblings.none());
+        this(loop, settings, seed, watch, SiblingProcesses.none());
     }
 
-    /** @param watch starts a subscription to the worker list; whatever comes of it goes to {@link #listed} */
-    public Core(Loop loop, Settings settings, long seed, Runnable watch, Siblings siblings) {
+    /** @param watch starts a subscription to the worker list; whatever comes of it goes to {@link #updateWorkers} */
+    public Core(Loop loop, Settings settings, long seed, Runnable watch, SiblingProcesses siblings) {
         this(loop, settings, watch, siblings, (now, core) -> new Choice(settings, seed, now, core));
     }
 
@@ -74,13 +74,13 @@
             Loop loop,
             Settings settings,
             Runnable watch,
-            Siblings siblings,
+            SiblingProcesses siblings,
             BiFunction<Long, Dispatcher.Actions, Dispatcher> module) {
         this.siblings = siblings;
         this.loop = loop;
         this.settings = settings;
         this.watch = watch;
-        tally = new Tally(settings.classes().size());
+        statistics = new JobStatistics(settings.classes().size());
         complaints = new ThrottledWarnings(loop, LOG, "jobs refused");
         this.module = module.apply(now(), this);
     }
@@ -93,29 +93,29 @@
      * until the first has its answer.
      */
     public boolean isOpen(String id) {
-        return openIds.contains(id) || siblings.openElsewhere(id);
+        return openIds.contains(id) || siblings.isOpenElsewhere(id);
     }
 
     /** Takes a request whose id is not open; gives its handle. */
-    public long take(Front front, Work work, Ask ask) {
+    public long submit(ResponseHandler front, JobSpec work, RequestOptions ask) {
         long now = now();
-        long expires = Math.min(answerBy, ask.arrived() + ask.timeLeft());
+        long expires = Math.min(setAnswerDeadline, ask.arrivedAt() + ask.timeLeft());
         JobClass of = settings.classes().get(work.jobClass());
         Request request = new Request(front, work, expires, of);
         request.takenAt = now;
         request.handle = requests.add(request);
         open++;
         openIds.add(work.id());
-        siblings.opened(work.id());
-        boolean full = crowded.getAsBoolean();
-        long wait = full || expires <= now ? 0 : admission.enter(now, work.jobClass(), ask.tenant());
+        siblings.requestOpened(work.id());
+        boolean full = setDescriptorShortage.getAsBoolean();
+        long wait = full || expires <= now ? 0 : setAdmissionControl.admissionDelay(now, work.jobClass(), ask.tenant());
         if (expires <= now || full || wait > 0) {
             // Danger: without a descriptor for a worker it would only wait for its time to run out.
             if (full) {
                 complaints.add("no descriptors left for workers", "request " + work.id());
             }
             conclude(request);
-            tally.countRefused(work.jobClass());
+            statistics.countRefused(work.jobClass());
             front.refused(full ? settings.maxRetryAfter() : Math.min(wait, settings.maxRetryAfter()));
             release(request);
             return request.handle;
@@ -123,7 +123,7 @@
         request.deadline = loop.at(expires, () -> expire(request));
         // Danger: the module takes whoever waits for less than others for one who asks again late, and gives
         // up on the job. Only a client that says so does; the core itself keeps the client's own time.
-        long told = ask.repeat() ? ask.timeLeft() : Math.max(ask.timeLeft(), of.deadline());
+        long told = ask.retry() ? ask.timeLeft() : Math.max(ask.timeLeft(), of.deadline());
         module.request(
                 now,
                 request.handle,
@@ -134,8 +134,8 @@
                 ask.slots(),
                 ask.memory(),
                 request.effect,
-                ask.hint(),
-                ask.doubtful());
+                ask.workEstimate(),
+                ask.possibleRetry());
         return request.handle;
     }
 
@@ -152,7 +152,7 @@
     }
 
     /** The worker list, or changes to it, as discovery tells them. */
-    public void listed(ListKind kind, List<Worker> entries, Map<Long, ? extends WorkerPort> addresses) {
+    public void updateWorkers(ListKind kind, List<Worker> entries, Map<Long, ? extends WorkerPort> addresses) {
         ports.putAll(addresses);
         List<Worker> all = new ArrayList<>(entries);
         if (kind == ListKind.WHOLE || kind == ListKind.CACHED) {
@@ -184,12 +184,12 @@
     }
 
     /** The one place that decides whether an attempt's first byte may go out now. */
-    boolean begins(Attempt attempt) {
+    boolean tryBegin(Attempt attempt) {
         long now = now();
         HoldReason reason = holdReason(attempt, now);
         attempt.begunAt = reason == null ? now : 0;
         if (reason != null) {
-            tally.countHeldBack(reason);
+            statistics.countHeldBack(reason);
             LOG.log(Level.FINE, "attempt {0} no {1} at {2} is held back: {3}", new Object[] {
                 attempt.requestId(), attempt.number, attempt.port, reason
             });
@@ -202,7 +202,7 @@
         Request request = attempt.request;
         if (request.over || attempts.get(attempt.handle) == null) {
             return HoldReason.OVER;
-        } else if (request.front.left()) {
+        } else if (request.front.clientLeft()) {
             return HoldReason.CLIENT_LEFT;
         } else if (!inService.contains(attempt.worker)) {
             return HoldReason.WORKER_OUT_OF_SERVICE;
@@ -213,7 +213,7 @@
     }
 
     /** A worker that came by itself, or a change of its state. */
-    public void guest(Worker worker, WorkerPort port) {
+    public void updateRegisteredWorker(Worker worker, WorkerPort port) {
         if (worker.state() == WorkerState.GONE) {
             guests.remove(worker.id());
         } else {
@@ -227,8 +227,8 @@
     }
 
     /** Whatever is taken from now on gets its answer until then, however long its client would wait. */
-    public void answerBy(long time) {
-        answerBy = time;
+    public void setAnswerDeadline(long time) {
+        setAnswerDeadline = time;
     }
 
     /** Calls back once no request is open; new ones may still come before that. */
@@ -242,14 +242,14 @@
     }
 
     /** A front turned a job away without asking. Gives how long its client may be told to stay away. */
-    public long turnedAway(int jobClass) {
-        tally.countRefused(jobClass);
+    public long countTurnedAway(int jobClass) {
+        statistics.countRefused(jobClass);
         return settings.maxRetryAfter();
     }
 
     /** What was counted since the start. */
-    public Tally tally() {
-        return tally;
+    public JobStatistics statistics() {
+        return statistics;
     }
 
     /** What the module has learned, for a process that takes this one's place. */
@@ -258,32 +258,32 @@
     }
 
     /** The module begins with what another process's has learned. */
-    public void recall(Learned learned) {
+    public void restoreLearned(Learned learned) {
         module.recall(now(), learned);
     }
 
     /** Says whether connections are so many that none may be left for workers; then no job is taken. */
-    public void crowded(BooleanSupplier so) {
-        crowded = so;
+    public void setDescriptorShortage(BooleanSupplier so) {
+        setDescriptorShortage = so;
     }
 
     /** Asks there for each job whether it may be taken; jobs of the node's own included. */
-    public void admission(AdmissionControl its) {
-        admission = its;
+    public void setAdmissionControl(AdmissionControl its) {
+        setAdmissionControl = its;
     }
 
     /** Where messages to all other nodes go. */
-    public void peers(Consumer<byte[]> tell) {
-        peers = tell;
+    public void setPeerSender(Consumer<byte[]> tell) {
+        setPeerSender = tell;
     }
 
     /** A message of another node, by its number. */
-    public void heard(int node, byte[] message) {
+    public void receivedFromPeer(int node, byte[] message) {
         module.heard(now(), node, message);
     }
 
     /** A worker was gone for long and is forgotten; false while an attempt at it is still out. */
-    public boolean forget(long worker) {
+    public boolean tryForget(long worker) {
         WorkerPort port = ports.get(worker);
         boolean[] used = {false};
         attempts.forEach(attempt -> used[0] |= attempt.port == port);
@@ -305,7 +305,7 @@
     }
 
     void written() {
-        tally.countAttempt();
+        statistics.countAttempt();
     }
 
     void started(Attempt attempt) {
@@ -329,13 +329,13 @@
         // The answer goes out before the module learns of it: it waits for nobody's bookkeeping.
         if (outcome == Outcome.SERVED && !request.over) {
             conclude(request);
-            Bond bond = request.work.bond();
-            if (bond == null || bond.accepts(result)) {
-                tally.countServed(request.work.jobClass());
+            JobContract bond = request.work.contract();
+            if (bond == null || bond.acceptsResult(result)) {
+                statistics.countServed(request.work.jobClass());
                 request.front.served(result);
             } else {
                 // Danger: the job has run; a bad answer is never a reason to run it again.
-                tally.countFailed(request.work.jobClass());
+                statistics.countFailed(request.work.jobClass());
                 request.front.failed();
             }
         }
@@ -368,10 +368,10 @@
      * Danger: tried again, what no worker can use would be held against one after the other. It is over, and
      * the module hears of it as of an attempt that it took back.
      */
-    void unusable(Attempt attempt) {
+    void invalidJob(Attempt attempt) {
         if (attempts.get(attempt.handle) != null && !attempt.request.over) {
             conclude(attempt.request);
-            tally.countFailed(attempt.request.work.jobClass());
+            statistics.countFailed(attempt.request.work.jobClass());
             attempt.request.front.failed();
         }
         ended(attempt, Outcome.CANCELLED, null, Load.NONE);
@@ -384,7 +384,7 @@
     private void expire(Request request) {
         for (Attempt attempt : List.copyOf(request.attempts)) {
             if (attempts.get(attempt.handle) != null) {
-                boolean never = attempt.port.callOff(attempt);
+                boolean never = attempt.port.abort(attempt);
                 ended(attempt, never ? Outcome.CONNECT_FAILED : Outcome.TIMEOUT, null, Load.NONE);
             }
         }
@@ -400,7 +400,7 @@
         request.over = true;
         loop.cancel(request.deadline);
         openIds.remove(request.work.id());
-        siblings.closed(request.work.id());
+        siblings.requestClosed(request.work.id());
         open--;
         if (whenIdle != null) {
             loop.execute(this::tellIdle);
@@ -419,8 +419,8 @@
         if (request.over
                 && request.out == 0
                 && requests.remove(request.handle) != null
-                && request.work.bond() != null) {
-            request.work.bond().over();
+                && request.work.contract() != null) {
+            request.work.contract().release();
         }
     }
 
@@ -450,7 +450,7 @@
             loop.execute(() -> ended(attempt, Outcome.NOT_SENT, null, Load.NONE));
             return;
         }
-        if (!admission.attempt(attempt.number == 0)) {
+        if (!setAdmissionControl.mayAttempt(attempt.number == 0)) {
             // Danger: left out of the module's count, it would be tried at each worker in turn, for ever.
             loop.execute(() -> ended(attempt, Outcome.NOT_SENT, null, Load.NONE));
             return;
@@ -465,7 +465,7 @@
         if (request != null && number < request.attempts.size()) {
             Attempt attempt = request.attempts.get(number);
             if (attempts.get(attempt.handle) != null) {
-                attempt.neverRan = attempt.port.callOff(attempt);
+                attempt.neverRan = attempt.port.abort(attempt);
                 // Its outcome comes as an event of its own: the module is in the middle of a call.
                 loop.execute(() -> ended(attempt, Outcome.CANCELLED, null, Load.NONE));
             }
@@ -488,10 +488,10 @@
     /** Refuses a request where that is lawful, else fails it. */
     private void giveUp(Request request, long wait) {
         if (mayRefuse(request)) {
-            tally.countRefused(request.work.jobClass());
+            statistics.countRefused(request.work.jobClass());
             request.front.refused(wait);
         } else {
-            tally.countFailed(request.work.jobClass());
+            statistics.countFailed(request.work.jobClass());
             request.front.failed();
         }
         release(request);
@@ -518,7 +518,7 @@
         Request request = requests.get(handle);
         if (request != null && !request.over) {
             conclude(request);
-            tally.countFailed(request.work.jobClass());
+            statistics.countFailed(request.work.jobClass());
             request.front.failed();
             release(request);
         }
@@ -531,7 +531,7 @@
 
     @Override
     public void tell(byte[] message) {
-        peers.accept(message);
+        setPeerSender.accept(message);
     }
 
     @Override
--- a/src/main/java/gorserill/routing/Bond.java
+++ b/src/main/java/gorserill/routing/JobContract.java
@@ -6,15 +6,15 @@
  * What binds one job beyond its class: a contract that it was taken under, as it was then. It knows no wire
  * and no description.
  */
-public interface Bond {
+public interface JobContract {
     /** What running the job twice does; the stricter of this and its class's holds. */
     Effect effect();
 
     /**
      * Whether a worker's answer may be given to the client; if not, the job failed, and is not tried again.
      */
-    boolean accepts(byte[] result);
+    boolean acceptsResult(byte[] result);
 
     /** The job is over, and nothing more is asked of this. */
-    void over();
+    void release();
 }
--- a/src/main/java/gorserill/routing/Tally.java
+++ b/src/main/java/gorserill/routing/JobStatistics.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** Running counts since the start: answers by class and kind, each job once, and attempts. */
-public final class Tally {
+public final class JobStatistics {
     private final long[] served;
     private final long[] refused;
     private final long[] failed;
@@ -12,7 +12,7 @@
     /** The sums when it was asked in words last. */
     private long[] told = new long[3];
 
-    Tally(int classes) {
+    JobStatistics(int classes) {
         served = new long[classes];
         refused = new long[classes];
         failed = new long[classes];
@@ -62,7 +62,7 @@
     }
 
     /** How many answers of each kind were given since it was asked last, in words. */
-    public String answersSince() {
+    public String summarySinceLastCall() {
         long[] now = {sum(served), sum(refused), sum(failed)};
         String words =
                 (now[0] - told[0]) + " served, " + (now[1] - told[1]) + " refused, " + (now[2] - told[2]) + " failed";
--- a/src/main/java/gorserill/routing/Request.java
+++ b/src/main/java/gorserill/routing/Request.java
@@ -8,8 +8,8 @@
 
 /** A request that the node has taken. */
 final class Request {
-    final Front front;
-    final Work work;
+    final ResponseHandler front;
+    final JobSpec work;
     final long expires;
     /** The stricter of what its class and what binds it say. */
     final Effect effect;
@@ -25,7 +25,7 @@
 
     int out;
 
-    Request(Front front, Work work, long expires, JobClass of) {
+    Request(ResponseHandler front, JobSpec work, long expires, JobClass of) {
         effect = effect(work, of);
         this.front = front;
         this.work = work;
@@ -36,8 +36,8 @@
      * Danger: a bond can be keyed where the class is safe. Nothing then says that workers of that class drop
      * repeats, whatever key they are told, so none are sent.
      */
-    private static Effect effect(Work work, JobClass of) {
-        Effect told = work.bond() == null ? Effect.SAFE : work.bond().effect();
+    private static Effect effect(JobSpec work, JobClass of) {
+        Effect told = work.contract() == null ? Effect.SAFE : work.contract().effect();
         return told.compareTo(of.effect()) <= 0 ? of.effect() : Effect.UNSAFE;
     }
 
--- a/src/main/java/gorserill/routing/Front.java
+++ b/src/main/java/gorserill/routing/ResponseHandler.java
@@ -1,7 +1,7 @@
 package gorserill.routing;
 
 /** Where a request came in, and its one final answer goes out; called on the core's thread. */
-public interface Front {
+public interface ResponseHandler {
     /** A worker did the job; {@code result} is what it gave, maybe nothing. */
     void served(byte[] result);
 
@@ -15,7 +15,7 @@
      * Whether the client has gone, of which the core may still have to hear: events wait in turn, and what
      * has gone must have nothing begun for it.
      */
-    default boolean left() {
+    default boolean clientLeft() {
         return false;
     }
 }
--- a/src/main/java/gorserill/routing/WorkerPort.java
+++ b/src/main/java/gorserill/routing/WorkerPort.java
@@ -10,14 +10,14 @@
      *
      * @param expires when the core stops waiting for it
      */
-    void start(Attempt attempt, Work work, long expires);
+    void start(Attempt attempt, JobSpec work, long expires);
 
     /**
      * Stops waiting for an attempt that has not ended; nothing may be told of it from here on.
      *
      * @return true where the job provably was never handed to the worker
      */
-    boolean callOff(Attempt attempt);
+    boolean abort(Attempt attempt);
 
     /**
      * It has gone out of service. What rests is closed, and each attempt of which not a byte has gone out is
--- a/src/main/java/gorserill/transport/Descriptors.java
+++ b/src/main/java/gorserill/transport/Descriptors.java
@@ -1,6 +1,6 @@
 package gorserill.transport;
 
-import gorserill.common.Siblings;
+import gorserill.common.SiblingProcesses;
 import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -14,7 +14,7 @@
 final class Descriptors {
     private final int budget;
     private final int mostAccepted;
-    private final Siblings siblings;
+    private final SiblingProcesses siblings;
     private int all;
     private int accepted;
     /** Both in the order in which they came to be so. */
@@ -27,7 +27,7 @@
      * @param mostAccepted the most of them that others may open
      * @param siblings who hold part of the budget, too
      */
-    Descriptors(int budget, int mostAccepted, Siblings siblings) {
+    Descriptors(int budget, int mostAccepted, SiblingProcesses siblings) {
         this.siblings = siblings;
         this.budget = budget;
         this.mostAccepted = mostAccepted;
@@ -48,7 +48,7 @@
 
     private void count(int more) {
         all += more;
-        siblings.descriptors(all);
+        siblings.reportConnections(all);
     }
 
     private int left() {
--- a/src/main/java/gorserill/transport/Transport.java
+++ b/src/main/java/gorserill/transport/Transport.java
@@ -1,7 +1,7 @@
 package gorserill.transport;
 
 import gorserill.common.Loop;
-import gorserill.common.Siblings;
+import gorserill.common.SiblingProcesses;
 import gorserill.common.SlotTable;
 import gorserill.common.ThrottledWarnings;
 import java.io.IOException;
@@ -77,12 +77,12 @@
      * @param budget the most connections held at a time, of all kinds together
      * @param siblings who hold part of the budget, too
      */
-    public Transport(Loop loop, int budget, Siblings siblings) {
+    public Transport(Loop loop, int budget, SiblingProcesses siblings) {
         this(loop, budget, siblings, MOST_FACT_AGE);
     }
 
     /** @param mostFactAge how old what was said may be as something is written that hangs on it, microseconds */
-    public Transport(Loop loop, int budget, Siblings siblings, long mostFactAge) {
+    public Transport(Loop loop, int budget, SiblingProcesses siblings, long mostFactAge) {
         this.loop = loop;
         channels = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("gorserill.channel");
         table = new SlotTable<>();
@@ -124,7 +124,7 @@
      * the while would find nothing left of it.
      */
     public Transport apart(int most) {
-        return new Transport(this, new Descriptors(most, most, Siblings.none()));
+        return new Transport(this, new Descriptors(most, most, SiblingProcesses.none()));
     }
 
     public void start() throws IOException {
@@ -208,7 +208,7 @@
      */
     public Listening listenApart(InetSocketAddress address, Filter codec, Supplier<? extends Peer> peers, int most)
             throws IOException {
-        Descriptors apart = new Descriptors(most, most, Siblings.none());
+        Descriptors apart = new Descriptors(most, most, SiblingProcesses.none());
         return bind(new Accepting(loop::executeFirst, apart, peers), codec, address);
     }
 
--- a/src/test/java/gorserill/common/SiblingsTest.java
+++ b/src/test/java/gorserill/common/SiblingProcessesTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.Test;
 
 /** What the processes of one node know of each other. */
-public class SiblingsTest {
+public class SiblingProcessesTest {
     private static final int OWN = 64;
 
     private final long[] nanos = new long[1];
@@ -26,8 +26,8 @@
         folder = Files.createTempDirectory("siblings");
     }
 
-    private Siblings join() throws IOException {
-        return Siblings.join(loop, folder, "node", OWN);
+    private SiblingProcesses join() throws IOException {
+        return SiblingProcesses.join(loop, folder, "node", OWN);
     }
 
     /** Lets each look who else is there. */
@@ -38,42 +38,42 @@
 
     @Test
     public void eachSeesWhatTheOtherHolds() throws IOException {
-        Siblings first = join();
-        assertTrue(first.alone());
+        SiblingProcesses first = join();
+        assertTrue(first.isAlone());
         assertEquals(first.descriptorsElsewhere(), 0);
-        first.descriptors(7);
-        first.opened("a-1");
-        Siblings second = join();
+        first.reportConnections(7);
+        first.requestOpened("a-1");
+        SiblingProcesses second = join();
         assertEquals(second.descriptorsElsewhere(), 7 + OWN);
-        assertTrue(second.openElsewhere("a-1"));
-        assertFalse(second.openElsewhere("a-2"));
+        assertTrue(second.isOpenElsewhere("a-1"));
+        assertFalse(second.isOpenElsewhere("a-2"));
         look();
-        assertFalse(first.alone());
+        assertFalse(first.isAlone());
         assertEquals(first.descriptorsElsewhere(), OWN);
-        second.descriptors(3);
-        second.opened("a-2");
+        second.reportConnections(3);
+        second.requestOpened("a-2");
         assertEquals(first.descriptorsElsewhere(), 3 + OWN);
-        assertTrue(first.openElsewhere("a-2"));
-        assertFalse(first.openElsewhere("a-1"), "it is its own");
-        first.closed("a-1");
-        assertFalse(second.openElsewhere("a-1"));
+        assertTrue(first.isOpenElsewhere("a-2"));
+        assertFalse(first.isOpenElsewhere("a-1"), "it is its own");
+        first.requestClosed("a-1");
+        assertFalse(second.isOpenElsewhere("a-1"));
     }
 
     @Test
     public void moreOpenRequestsThanThereIsRoomForDoNoHarm() throws IOException {
-        Siblings first = join();
+        SiblingProcesses first = join();
         for (int i = 0; i < 1_500; i++) {
-            first.opened("a-" + i);
+            first.requestOpened("a-" + i);
         }
-        Siblings second = join();
-        assertTrue(second.openElsewhere("a-1022"));
-        assertFalse(second.openElsewhere("a-1023"));
+        SiblingProcesses second = join();
+        assertTrue(second.isOpenElsewhere("a-1022"));
+        assertFalse(second.isOpenElsewhere("a-1023"));
         for (int i = 0; i < 1_500; i++) {
-            first.closed("a-" + i);
+            first.requestClosed("a-" + i);
         }
-        first.opened("a-1400");
-        assertTrue(second.openElsewhere("a-1400"));
-        assertFalse(second.openElsewhere("a-1022"));
+        first.requestOpened("a-1400");
+        assertTrue(second.isOpenElsewhere("a-1400"));
+        assertFalse(second.isOpenElsewhere("a-1022"));
     }
 
     /** Danger: what a dead process has left would use up the limits for good. */
@@ -84,12 +84,12 @@
         for (String place : List.of("node.0", "node.1", "node.2")) {
             Files.write(folder.resolve(place), remains);
         }
-        Siblings first = join();
-        assertTrue(first.alone());
+        SiblingProcesses first = join();
+        assertTrue(first.isAlone());
         assertEquals(first.descriptorsElsewhere(), 0);
-        Siblings second = join();
+        SiblingProcesses second = join();
         assertEquals(second.descriptorsElsewhere(), OWN);
-        assertFalse(second.openElsewhere("a-1"));
+        assertFalse(second.isOpenElsewhere("a-1"));
     }
 
     /**
@@ -98,23 +98,23 @@
      */
     @Test
     public void aSiblingThatCantBeSeenForAWhileStillCounts() throws IOException {
-        Siblings first = join();
-        first.descriptors(5);
-        first.opened("a-1");
-        Siblings second = join();
+        SiblingProcesses first = join();
+        first.reportConnections(5);
+        first.requestOpened("a-1");
+        SiblingProcesses second = join();
         Path place = folder.resolve("node.0");
         Path away = folder.resolve("node.0.away");
         Files.move(place, away);
         Files.createDirectory(place);
         look();
-        assertTrue(second.openElsewhere("a-1"), "a sibling that can't be seen was taken for gone");
+        assertTrue(second.isOpenElsewhere("a-1"), "a sibling that can't be seen was taken for gone");
         assertEquals(second.descriptorsElsewhere(), 5 + OWN);
         Files.delete(place);
         Files.move(away, place);
-        first.closed("a-1");
+        first.requestClosed("a-1");
         look();
-        assertFalse(second.openElsewhere("a-1"));
-        assertFalse(second.alone());
+        assertFalse(second.isOpenElsewhere("a-1"));
+        assertFalse(second.isAlone());
     }
 
     @Test
@@ -123,7 +123,7 @@
             join();
         }
         expectThrows(IOException.class, this::join);
-        assertEquals(Siblings.none().descriptorsElsewhere(), 0);
-        assertFalse(Siblings.none().openElsewhere("a-1"));
+        assertEquals(SiblingProcesses.none().descriptorsElsewhere(), 0);
+        assertFalse(SiblingProcesses.none().isOpenElsewhere("a-1"));
     }
 }
--- a/src/test/java/gorserill/common/TablesTest.java
+++ b/src/test/java/gorserill/common/TablesTest.java
@@ -38,8 +38,8 @@
         deadlines.cancel(deadlines.at(5, () -> done.add("taken back")));
         deadlines.cancel(null);
         assertEquals(deadlines.next(), 10);
-        assertNull(deadlines.due(9));
-        for (Runnable due = deadlines.due(20); due != null; due = deadlines.due(20)) {
+        assertNull(deadlines.pollDue(9));
+        for (Runnable due = deadlines.pollDue(20); due != null; due = deadlines.pollDue(20)) {
             due.run();
         }
         assertEquals(done, List.of("early", "early, set second", "late"));
--- a/src/test/java/gorserill/common/ThrottledWarningsTest.java
+++ b/src/test/java/gorserill/common/ThrottledWarningsTest.java
@@ -43,14 +43,15 @@
         for (int i = 0; i < 400; i++) {
             complaints.add(i % 2 == 0 ? "400" : "404", "no. " + i);
         }
-        assertEquals(lines.size(), ThrottledWarnings.ONE_BY_ONE);
-        nanos[0] += ThrottledWarnings.PERIOD * 1_000;
+        assertEquals(lines.size(), ThrottledWarnings.MAX_LINES_PER_PERIOD);
+        nanos[0] += ThrottledWarnings.PERIOD_MICROS * 1_000;
         loop.runDue();
-        assertEquals(lines.get(ThrottledWarnings.ONE_BY_ONE), "clients: in 10 s 395 more: {400=197, 404=198}");
+        assertEquals(
+                lines.get(ThrottledWarnings.MAX_LINES_PER_PERIOD), "clients: in 10 s 395 more: {400=197, 404=198}");
         complaints.add("408", "again");
-        assertEquals(lines.get(ThrottledWarnings.ONE_BY_ONE + 1), "clients: 408: again");
-        nanos[0] += ThrottledWarnings.PERIOD * 1_000;
+        assertEquals(lines.get(ThrottledWarnings.MAX_LINES_PER_PERIOD + 1), "clients: 408: again");
+        nanos[0] += ThrottledWarnings.PERIOD_MICROS * 1_000;
         loop.runDue();
-        assertEquals(lines.size(), ThrottledWarnings.ONE_BY_ONE + 2);
+        assertEquals(lines.size(), ThrottledWarnings.MAX_LINES_PER_PERIOD + 2);
     }
 }
--- a/src/test/java/gorserill/measure/WireCapacity.java
+++ b/src/test/java/gorserill/measure/WireCapacity.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import gorserill.cluster.ownership.Entry;
 import gorserill.cluster.ownership.Register;
-import gorserill.protocol.discovery.Listing;
+import gorserill.protocol.discovery.WorkerListing;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -62,7 +62,7 @@
             Spread took = cost(rounds, () -> {
                 try (JsonParser json = JSON.createParser(text)) {
                     json.nextToken();
-                    Listing.read(json);
+                    WorkerListing.read(json);
                 }
             });
             System.out.printf("| %d | %d | %s |%n", workers, text.length, took);
--- a/src/test/java/gorserill/program/FleetChurnTest.java
+++ b/src/test/java/gorserill/program/FleetChurnTest.java
@@ -6,7 +6,7 @@
 
 import barrowflow.Dispatcher.ListKind;
 import gorserill.common.Loop;
-import gorserill.protocol.discovery.Listing;
+import gorserill.protocol.discovery.WorkerListing;
 import gorserill.routing.Core;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -26,11 +26,12 @@
         Core core = new Core(loop, config.settings, 1, () -> {});
         Fleet fleet = new Fleet(loop, core, null, List.of("a"), List.of("std4"), name -> false);
         for (int round = 0; round < 100; round++) {
-            List<Listing.Entry> entries = new ArrayList<>();
+            List<WorkerListing.Entry> entries = new ArrayList<>();
             for (int i = 0; i < 50; i++) {
-                entries.add(new Listing.Entry("w-" + round + "-" + i, "127.0.0.1:9", "a", "std4", 0, "in_service", 0));
+                entries.add(new WorkerListing.Entry(
+                        "w-" + round + "-" + i, "127.0.0.1:9", "a", "std4", 0, "in_service", 0));
             }
-            fleet.tell(ListKind.WHOLE, new Listing(round + 1, true, entries));
+            fleet.tell(ListKind.WHOLE, new WorkerListing(round + 1, true, entries));
             nanos[0] += 1_000_000_000L;
             loop.runDue();
         }
--- a/src/test/java/gorserill/program/HandoverTest.java
+++ b/src/test/java/gorserill/program/HandoverTest.java
@@ -6,11 +6,11 @@
 
 import barrowflow.Dispatcher.ListKind;
 import gorserill.common.Loop;
-import gorserill.protocol.discovery.Listing;
-import gorserill.routing.Ask;
+import gorserill.protocol.discovery.WorkerListing;
 import gorserill.routing.Core;
-import gorserill.routing.Front;
-import gorserill.routing.Work;
+import gorserill.routing.JobSpec;
+import gorserill.routing.RequestOptions;
+import gorserill.routing.ResponseHandler;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.DirectoryStream;
@@ -39,7 +39,7 @@
         final Fleet fleet = new Fleet(loop, core, null, List.of("a"), List.of("std4"), name -> false);
         final Handover handover;
 
-        Process(String node, Listing listing) {
+        Process(String node, WorkerListing listing) {
             fleet.tell(ListKind.WHOLE, listing);
             handover = new Handover(loop, core, fleet, folder, node);
         }
@@ -61,18 +61,18 @@
         config = NodeConfig.read(new Fixture(nowhere, "", 15_000, "{}").environment);
     }
 
-    private static Listing.Entry entry(String name, long since) {
-        return new Listing.Entry(name, "127.0.0.1:9", "a", "std4", 0, "in_service", since);
+    private static WorkerListing.Entry entry(String name, long since) {
+        return new WorkerListing.Entry(name, "127.0.0.1:9", "a", "std4", 0, "in_service", since);
     }
 
     /** A process with quotas that nobody used, so that prices fell: its jobs come too late to be sent. */
     private Process wiser() {
-        Process first = new Process("n1", new Listing(1, true, List.of(entry("w1", 0), entry("w2", 0))));
+        Process first = new Process("n1", new WorkerListing(1, true, List.of(entry("w1", 0), entry("w2", 0))));
         for (int i = 0; i < 30; i++) {
-            first.core.take(
+            first.core.submit(
                     new Silent(),
-                    new Work("j" + i, 2, "/", "k", null, new byte[0]),
-                    new Ask(first.loop.now(), 1_000, true, 0, 0, 1, 0));
+                    new JobSpec("j" + i, 2, "/", "k", null, new byte[0]),
+                    new RequestOptions(first.loop.now(), 1_000, true, 0, 0, 1, 0));
             first.nanos[0] += 200_000_000;
             first.loop.runDue();
         }
@@ -83,14 +83,14 @@
     public void theNextProcessBeginsWithWhatTheLastOneLearned() {
         Process first = wiser();
         first.handover.keep(() -> true);
-        Process next = new Process("n1", new Listing(9, true, List.of(entry("w2", 0), entry("w1", 5))));
+        Process next = new Process("n1", new WorkerListing(9, true, List.of(entry("w2", 0), entry("w1", 5))));
         assertNotEquals(next.learned().get("w2"), first.learned().get("w2"));
         List<Double> fresh = next.learned().get("w1");
         next.handover.recall();
         assertEquals(next.core.learned().all(), first.core.learned().all());
         assertEquals(next.learned().get("w2"), first.learned().get("w2"));
         assertEquals(next.learned().get("w1"), fresh, "it has started anew since");
-        next.fleet.tell(ListKind.CHANGES, new Listing(10, false, List.of(entry("w3", 0))));
+        next.fleet.tell(ListKind.CHANGES, new WorkerListing(10, false, List.of(entry("w3", 0))));
     }
 
     @Test
@@ -102,7 +102,7 @@
             file = all.iterator().next();
         }
         String text = Files.readString(file);
-        Listing listing = new Listing(1, true, List.of(entry("w1", 0), entry("w2", 0)));
+        WorkerListing listing = new WorkerListing(1, true, List.of(entry("w1", 0), entry("w2", 0)));
         Process next = new Process("n1", listing);
         List<Double> before = next.core.learned().all();
         Files.setLastModifiedTime(file, FileTime.fromMillis(System.currentTimeMillis() - 60_000));
@@ -156,7 +156,7 @@
         }
     }
 
-    private static final class Silent implements Front {
+    private static final class Silent implements ResponseHandler {
         @Override
         public void served(byte[] result) {
             throw new AssertionError();
--- a/src/test/java/gorserill/program/LifecycleTest.java
+++ b/src/test/java/gorserill/program/LifecycleTest.java
@@ -10,8 +10,8 @@
 import barrowflow.Dispatcher.JobClass;
 import barrowflow.Dispatcher.Settings;
 import gorserill.common.Loop;
-import gorserill.protocol.ClientFront;
-import gorserill.protocol.Intake;
+import gorserill.protocol.ClientFrontend;
+import gorserill.protocol.IntakeMode;
 import gorserill.routing.Core;
 import java.util.ArrayList;
 import java.util.List;
@@ -28,9 +28,9 @@
         final List<String> told = new ArrayList<>();
         boolean empty;
 
-        final ClientFront front = new ClientFront() {
+        final ClientFrontend front = new ClientFrontend() {
             @Override
-            public void intake(Intake intake) {
+            public void setIntakeMode(IntakeMode intake) {
                 told.add(intake.toString());
             }
 
@@ -40,17 +40,17 @@
             }
 
             @Override
-            public boolean empty() {
+            public boolean hasNoClients() {
                 return empty;
             }
 
             @Override
-            public void welcome(boolean clients) {
+            public void advertiseReady(boolean clients) {
                 told.add("welcome " + clients);
             }
 
             @Override
-            public void dismiss() {}
+            public void announceShutdown() {}
         };
 
         void passes(long millis) {
--- a/src/test/java/gorserill/program/MaintenanceTest.java
+++ b/src/test/java/gorserill/program/MaintenanceTest.java
@@ -5,7 +5,7 @@
 
 import barrowflow.Dispatcher.ListKind;
 import gorserill.common.Loop;
-import gorserill.protocol.discovery.Listing;
+import gorserill.protocol.discovery.WorkerListing;
 import gorserill.routing.Core;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -33,8 +33,10 @@
         Process() {
             fleet.tell(
                     ListKind.WHOLE,
-                    new Listing(
-                            1, true, List.of(new Listing.Entry("w1", "127.0.0.1:9", "a", "std4", 0, "in_service", 0))));
+                    new WorkerListing(
+                            1,
+                            true,
+                            List.of(new WorkerListing.Entry("w1", "127.0.0.1:9", "a", "std4", 0, "in_service", 0))));
         }
 
         void call(boolean out) {
--- a/src/test/java/gorserill/protocol/discovery/BusyDiscoveryTest.java
+++ b/src/test/java/gorserill/protocol/discovery/BusyDiscoveryTest.java
@@ -112,7 +112,7 @@
         private void start(Node node) {
             node.listensSince = now;
             node.behind = linesBehind;
-            after(node.pace.firstRest() / 1_000.0, () -> call(node));
+            after(node.pace.initialDelay() / 1_000.0, () -> call(node));
         }
 
         private void call(Node node) {
@@ -134,7 +134,7 @@
 
         private void turnedAway(Node node) {
             // A quarter to half a second is the least rest that the decision module ever asks for.
-            double rest = Math.max(node.pace.turnedAway() / 1_000.0, 0.25 + random.nextDouble(0.25));
+            double rest = Math.max(node.pace.delayAfterTurnedAway() / 1_000.0, 0.25 + random.nextDouble(0.25));
             after(rest, () -> call(node));
         }
 
@@ -157,7 +157,7 @@
         }
 
         private void goOn(Node node) {
-            node.pace.answered();
+            node.pace.recordAnswer();
             busyUntil = Math.max(busyUntil, now) + WATCH_LINES / linesPerSecond;
             node.watches = true;
         }
--- a/src/test/java/gorserill/protocol/discovery/CallPaceTest.java
+++ b/src/test/java/gorserill/protocol/discovery/CallPaceTest.java
@@ -18,11 +18,11 @@
             for (long silent = 0; silent <= wait; silent += 250) {
                 long told = Math.max(silent + 6_000, wait + 2_000);
                 assertTrue(
-                        new CallPace(3, false, 1).patience(wait) <= told - 1_500,
+                        new CallPace(3, false, 1).answerTimeout(wait) <= told - 1_500,
                         "wait " + wait + ", silent at " + silent);
             }
             assertTrue(
-                    new CallPace(3, wait > 0, 1).patience(wait) >= wait + 500,
+                    new CallPace(3, wait > 0, 1).answerTimeout(wait) >= wait + 500,
                     "an answer at the end of the wait has to arrive");
         }
     }
@@ -35,7 +35,7 @@
             for (int node = 0; node < nodes; node++) {
                 CallPace pace = new CallPace(nodes, false, node);
                 for (int i = 0; i < 100; i++) {
-                    calls += 10.0 / pace.nextWait();
+                    calls += 10.0 / pace.nextWatchWait();
                 }
             }
             assertTrue(calls <= 1.0, nodes + " nodes make " + calls + " calls a second");
@@ -44,10 +44,10 @@
 
     @Test
     public void waitsThatBeganTogetherEndApart() {
-        assertEquals(new CallPace(3, false, 1).nextWait(), 5_000);
+        assertEquals(new CallPace(3, false, 1).nextWatchWait(), 5_000);
         long[] waits = new long[14];
         for (int node = 0; node < waits.length; node++) {
-            waits[node] = new CallPace(14, false, node * 7919L).nextWait();
+            waits[node] = new CallPace(14, false, node * 7919L).nextWatchWait();
             assertTrue(waits[node] >= 12_000 && waits[node] <= 15_000, "waits " + waits[node]);
         }
         assertTrue(java.util.Arrays.stream(waits).distinct().count() > 7);
--- a/src/test/java/gorserill/protocol/http/ClientLeftTest.java
+++ b/src/test/java/gorserill/protocol/http/ClientLeftTest.java
@@ -10,16 +10,16 @@
 import barrowflow.Dispatcher.Worker;
 import barrowflow.Dispatcher.WorkerState;
 import gorserill.common.ThrottledWarnings;
-import gorserill.protocol.ClassTerms;
-import gorserill.protocol.Gate;
+import gorserill.protocol.ContractGate;
+import gorserill.protocol.JobClassInfo;
 import gorserill.protocol.Tenants;
 import gorserill.protocol.faktory.FaktoryCodec;
 import gorserill.protocol.faktory.FaktoryFront;
 import gorserill.protocol.faktory.FaktoryTerms;
 import gorserill.protocol.http.StandInWorkers.Accepted;
-import gorserill.routing.Ask;
-import gorserill.routing.Front;
-import gorserill.routing.Work;
+import gorserill.routing.JobSpec;
+import gorserill.routing.RequestOptions;
+import gorserill.routing.ResponseHandler;
 import gorserill.transport.Channel;
 import gorserill.transport.Peer;
 import java.io.ByteArrayOutputStream;
@@ -89,7 +89,7 @@
                 all.add(new Worker(place + 1, 0, 0, 0, WorkerState.READY, 0));
                 ports.put(place + 1L, live.port("w" + place, workers.address(place)));
             }
-            live.core.listed(ListKind.WHOLE, all, ports);
+            live.core.updateWorkers(ListKind.WHOLE, all, ports);
             return null;
         });
     }
@@ -235,7 +235,7 @@
     public void anAttemptWhoseConnectionJustCameUpIsNotBegun() throws Exception {
         HttpWorker port = live.port("w1", workers.address(0));
         live.on(() -> {
-            live.core.listed(
+            live.core.updateWorkers(
                     ListKind.WHOLE,
                     List.of(new Worker(1, 0, 0, 0, WorkerState.READY, 0)),
                     Map.of(1L, live.crossed(port)));
@@ -276,7 +276,7 @@
         live.transport.listen(other, HttpCodec.server(live.loop::now, 1_000, live.room), () -> waits(accepted));
         Socket client = connect(other);
         Channel channel = accepted.get(5, TimeUnit.SECONDS);
-        long handle = live.on(() -> live.core.take(leaves(channel), work("a-1", 0), ask()));
+        long handle = live.on(() -> live.core.submit(leaves(channel), work("a-1", 0), ask()));
         Accepted tried = awaitFirst(rested);
         tried.head();
         live.on(() -> {
@@ -337,7 +337,7 @@
     public void aRequestThatIsWrittenInPartIsNotFinished() throws Exception {
         list(1);
         int size = 16 << 20;
-        long handle = live.on(() -> live.core.take(leaves(null), work("a-1", size), ask()));
+        long handle = live.on(() -> live.core.submit(leaves(null), work("a-1", size), ask()));
         Accepted up = workers.next();
         assertEquals(up.socket().getInputStream().read(), 'P');
         live.on(() -> live.core.withdraw(handle));
@@ -423,14 +423,14 @@
                 Map.of("default", "estado"),
                 Map.of("estado", "estado"),
                 List.of("estado"),
-                Map.of("estado", new ClassTerms(0, 2_000_000, false, false)),
+                Map.of("estado", new JobClassInfo(0, 2_000_000, false, false)),
                 null);
         FaktoryFront front = live.on(() -> new FaktoryFront(
                 live.loop,
                 live.core,
                 terms,
                 new Tenants(List.of()),
-                new Gate(
+                new ContractGate(
                         live.loop,
                         0,
                         new ThrottledWarnings(live.loop, Logger.getLogger(ClientLeftTest.class.getName()), "answers")),
@@ -441,12 +441,12 @@
         return to;
     }
 
-    private static Work work(String id, int size) {
-        return new Work(id, 0, null, null, null, new byte[size]);
+    private static JobSpec work(String id, int size) {
+        return new JobSpec(id, 0, null, null, null, new byte[size]);
     }
 
-    private Ask ask() {
-        return new Ask(live.loop.now(), 1_800_000, false, 0, 0, 1, 0);
+    private RequestOptions ask() {
+        return new RequestOptions(live.loop.now(), 1_800_000, false, 0, 0, 1, 0);
     }
 
     private static Peer waits(CompletableFuture<Channel> accepted) {
@@ -469,8 +469,8 @@
     }
 
     /** A front whose client's connection is that one; null for one that stays. */
-    private static Front leaves(Channel channel) {
-        return new Front() {
+    private static ResponseHandler leaves(Channel channel) {
+        return new ResponseHandler() {
             @Override
             public void served(byte[] result) {
                 // Nobody waits for it.
@@ -487,7 +487,7 @@
             }
 
             @Override
-            public boolean left() {
+            public boolean clientLeft() {
                 return channel != null && channel.gone();
             }
         };
--- a/src/test/java/gorserill/protocol/http/ClosingTest.java
+++ b/src/test/java/gorserill/protocol/http/ClosingTest.java
@@ -7,11 +7,11 @@
 import barrowflow.Dispatcher.Outcome;
 import barrowflow.Dispatcher.Worker;
 import barrowflow.Dispatcher.WorkerState;
-import gorserill.protocol.Intake;
+import gorserill.protocol.IntakeMode;
 import gorserill.protocol.http.StandInWorkers.Accepted;
 import gorserill.routing.Attempt;
+import gorserill.routing.JobSpec;
 import gorserill.routing.Load;
-import gorserill.routing.Work;
 import gorserill.routing.WorkerPort;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -55,7 +55,8 @@
 
     private void list(WorkerPort port) throws Exception {
         live.on(() -> {
-            live.core.listed(ListKind.WHOLE, List.of(new Worker(1, 0, 0, 0, WorkerState.READY, 0)), Map.of(1L, port));
+            live.core.updateWorkers(
+                    ListKind.WHOLE, List.of(new Worker(1, 0, 0, 0, WorkerState.READY, 0)), Map.of(1L, port));
             return null;
         });
     }
@@ -100,12 +101,12 @@
     /** A worker that is no connection: its answer does not need the selector. */
     private record Inside(Consumer<Attempt> started) implements WorkerPort {
         @Override
-        public void start(Attempt attempt, Work work, long expires) {
+        public void start(Attempt attempt, JobSpec work, long expires) {
             started.accept(attempt);
         }
 
         @Override
-        public boolean callOff(Attempt attempt) {
+        public boolean abort(Attempt attempt) {
             return false;
         }
     }
@@ -123,7 +124,7 @@
             send(client, job("a-2"));
             reads.awaitHeld();
             live.on(() -> {
-                live.front.intake(Intake.LAST);
+                live.front.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
                 live.front.closeIdle();
                 return null;
             });
@@ -153,7 +154,7 @@
             send(other, "PO");
             reads.awaitHeld();
             live.on(() -> {
-                live.front.intake(Intake.LAST);
+                live.front.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
                 live.front.closeIdle();
                 return null;
             });
@@ -210,7 +211,7 @@
             send(client, "POST /estado HTTP/1.1\r\n");
             byte[] result = "x".repeat(12_000).getBytes(StandardCharsets.ISO_8859_1);
             live.on(() -> {
-                live.front.intake(Intake.LAST);
+                live.front.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
                 attempt.ended(Outcome.SERVED, result, Load.NONE);
                 return null;
             });
--- a/src/test/java/gorserill/protocol/http/HttpProbeTest.java
+++ b/src/test/java/gorserill/protocol/http/HttpProbeTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 
 import gorserill.common.Loop;
-import gorserill.common.Siblings;
+import gorserill.common.SiblingProcesses;
 import gorserill.common.ThrottledWarnings;
 import gorserill.routing.Load;
 import gorserill.transport.Transport;
@@ -43,7 +43,7 @@
     @Test(dataProvider = "answers")
     public void eachCallIsAnsweredOnce(String answer, double slots) throws Exception {
         Loop loop = new Loop(e -> {});
-        Transport transport = new Transport(loop, 50, Siblings.none());
+        Transport transport = new Transport(loop, 50, SiblingProcesses.none());
         transport.start();
         loop.start();
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
@@ -86,7 +86,7 @@
     @Test
     public void aWorkerThatIsGoneTellsNothing() throws Exception {
         Loop loop = new Loop(e -> {});
-        Transport transport = new Transport(loop, 50, Siblings.none());
+        Transport transport = new Transport(loop, 50, SiblingProcesses.none());
         transport.start();
         loop.start();
         try {
--- a/src/test/java/gorserill/protocol/http/HttpWatchTest.java
+++ b/src/test/java/gorserill/protocol/http/HttpWatchTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertTrue;
 
 import gorserill.protocol.discovery.CallPace;
-import gorserill.protocol.discovery.Listing;
+import gorserill.protocol.discovery.WorkerListing;
 import gorserill.protocol.http.StandInWorkers.Accepted;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -26,7 +26,7 @@
     private static final long AFTER_SILENCE = 1_000;
     private static final String TURNED_AWAY = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
-    private BlockingQueue<Listing> heard;
+    private BlockingQueue<WorkerListing> heard;
     private List<String> failed;
     private LiveCore live;
     private StandInWorkers discovery;
@@ -47,12 +47,12 @@
         discovery.close();
     }
 
-    private HttpWatch watch(Listing known, boolean pushed) throws Exception {
+    private HttpWatch watch(WorkerListing known, boolean pushed) throws Exception {
         return watch(discovery.address(0), known, new CallPace(3, pushed, 1));
     }
 
-    private HttpWatch watch(InetSocketAddress address, Listing known, CallPace pace) throws Exception {
-        BlockingQueue<Listing> into = heard;
+    private HttpWatch watch(InetSocketAddress address, WorkerListing known, CallPace pace) throws Exception {
+        BlockingQueue<WorkerListing> into = heard;
         List<String> failures = failed;
         return live.on(() -> {
             HttpWatch watch = new HttpWatch(
@@ -69,8 +69,9 @@
         });
     }
 
-    private static Listing known(long index) {
-        return new Listing(index, true, List.of(new Listing.Entry("w1", "127.0.0.1:9", "a", "m", 0, "in_service", 0)));
+    private static WorkerListing known(long index) {
+        return new WorkerListing(
+                index, true, List.of(new WorkerListing.Entry("w1", "127.0.0.1:9", "a", "m", 0, "in_service", 0)));
     }
 
     private static String list(long index, boolean whole) {
@@ -110,7 +111,8 @@
      */
     @Test
     public void oneOfManyThatIsTurnedAwayRestsLongerThanTheModuleAsks() throws Exception {
-        HttpWatch watch = watch(discovery.address(0), new Listing(0, true, List.of()), new CallPace(100, false, 1));
+        HttpWatch watch =
+                watch(discovery.address(0), new WorkerListing(0, true, List.of()), new CallPace(100, false, 1));
         Accepted call = discovery.next();
         assertAsks(call, "");
         live.forward(2_000_000);
@@ -176,7 +178,7 @@
     /** The same for a first call for the whole list, which does not wait for news. */
     @Test
     public void aFirstCallThatIsNeverAnsweredIsMadeAnewBeforeSixSeconds() throws Exception {
-        watch(new Listing(0, true, List.of()), false);
+        watch(new WorkerListing(0, true, List.of()), false);
         assertAsks(discovery.next(), "");
         live.forward(4_500_000);
         assertAsks(discovery.next(), "");
--- a/src/test/java/gorserill/protocol/http/ListBeforeSendTest.java
+++ b/src/test/java/gorserill/protocol/http/ListBeforeSendTest.java
@@ -7,7 +7,7 @@
 import barrowflow.Dispatcher.Worker;
 import barrowflow.Dispatcher.WorkerState;
 import gorserill.protocol.discovery.CallPace;
-import gorserill.protocol.discovery.Listing;
+import gorserill.protocol.discovery.WorkerListing;
 import gorserill.protocol.http.StandInWorkers.Accepted;
 import java.util.List;
 import java.util.Map;
@@ -34,10 +34,10 @@
         return new Worker(1, 0, 0, 0, state, 0);
     }
 
-    private static void hear(LiveCore live, Listing listing) {
+    private static void hear(LiveCore live, WorkerListing listing) {
         boolean drains =
                 listing.entries().stream().anyMatch(entry -> entry.status().equals("terminating"));
-        live.core.listed(
+        live.core.updateWorkers(
                 ListKind.CHANGES, List.of(worker(drains ? WorkerState.DRAINING : WorkerState.READY)), Map.of());
     }
 
@@ -88,7 +88,7 @@
             HttpWorker port = live.port("w1", workers.address(0));
             HeldReads reads = new HeldReads(HttpCodec.client(live.loop, 1_000_000));
             live.on(() -> {
-                live.core.listed(ListKind.WHOLE, List.of(worker(WorkerState.READY)), Map.of(1L, port));
+                live.core.updateWorkers(ListKind.WHOLE, List.of(worker(WorkerState.READY)), Map.of(1L, port));
                 new HttpWatch(
                                 live.loop,
                                 live.transport,
--- a/src/test/java/gorserill/protocol/http/LiveCore.java
+++ b/src/test/java/gorserill/protocol/http/LiveCore.java
@@ -7,17 +7,17 @@
 import barrowflow.Dispatcher.Settings;
 import gorserill.common.Loop;
 import gorserill.common.MemoryBudget;
-import gorserill.common.Siblings;
+import gorserill.common.SiblingProcesses;
 import gorserill.common.ThrottledWarnings;
-import gorserill.protocol.ClassTerms;
-import gorserill.protocol.Gate;
+import gorserill.protocol.ContractGate;
+import gorserill.protocol.JobClassInfo;
 import gorserill.protocol.Tenants;
-import gorserill.routing.Ask;
 import gorserill.routing.Attempt;
 import gorserill.routing.Core;
-import gorserill.routing.Front;
+import gorserill.routing.JobSpec;
 import gorserill.routing.Load;
-import gorserill.routing.Work;
+import gorserill.routing.RequestOptions;
+import gorserill.routing.ResponseHandler;
 import gorserill.routing.WorkerPort;
 import gorserill.transport.ReservedPort;
 import gorserill.transport.Transport;
@@ -60,7 +60,7 @@
     }
 
     LiveCore(int descriptors, boolean mayCancel, JobClass jobs) throws Exception {
-        transport = new Transport(loop, descriptors, Siblings.none());
+        transport = new Transport(loop, descriptors, SiblingProcesses.none());
         transport.start();
         Settings settings = new Settings(
                 1,
@@ -106,9 +106,9 @@
         front = on(() -> new HttpFront(
                 loop,
                 core,
-                Map.of("estado", new ClassTerms(0, 2_000_000, false, false)),
+                Map.of("estado", new JobClassInfo(0, 2_000_000, false, false)),
                 new Tenants(List.of()),
-                new Gate(loop, 0, terms.complaints()),
+                new ContractGate(loop, 0, terms.complaints()),
                 room));
         InetSocketAddress at = ReservedPort.untilExit();
         listening = transport.listen(at, codec, front::accept);
@@ -155,10 +155,10 @@
 
     /** Takes a job, on the loop's thread; gives its handle. */
     long take(String id, CompletableFuture<String> answer) {
-        return core.take(
+        return core.submit(
                 new Answer(answer),
-                new Work(id, 0, null, null, null, new byte[0]),
-                new Ask(loop.now(), 1_800_000, false, 0, 0, 1, 0));
+                new JobSpec(id, 0, null, null, null, new byte[0]),
+                new RequestOptions(loop.now(), 1_800_000, false, 0, 0, 1, 0));
     }
 
     /** Runs something as one event of the loop, and waits for what it gives. */
@@ -182,7 +182,7 @@
         transport.stop();
     }
 
-    private record Answer(CompletableFuture<String> given) implements Front {
+    private record Answer(CompletableFuture<String> given) implements ResponseHandler {
         @Override
         public void served(byte[] result) {
             given.complete("served");
@@ -207,7 +207,7 @@
         }
 
         @Override
-        public void start(Attempt attempt, Work work, long expires) {
+        public void start(Attempt attempt, JobSpec work, long expires) {
             try {
                 onStart.call();
             } catch (Exception e) {
@@ -228,8 +228,8 @@
         }
 
         @Override
-        public boolean callOff(Attempt attempt) {
-            return port.callOff(attempt);
+        public boolean abort(Attempt attempt) {
+            return port.abort(attempt);
         }
 
         @Override
--- a/src/test/java/gorserill/protocol/http/ReuseTest.java
+++ b/src/test/java/gorserill/protocol/http/ReuseTest.java
@@ -32,7 +32,7 @@
         live = new LiveCore(100, true, UNSAFE);
         workers = new StandInWorkers(1);
         live.on(() -> {
-            live.core.listed(
+            live.core.updateWorkers(
                     ListKind.WHOLE,
                     List.of(new Worker(1, 0, 0, 0, WorkerState.READY, 0)),
                     Map.of(1L, live.crossed(live.port("w1", workers.address(0)))));
--- a/src/test/java/gorserill/protocol/http/ShortageTest.java
+++ b/src/test/java/gorserill/protocol/http/ShortageTest.java
@@ -26,7 +26,7 @@
             HttpWorker port = live.port("w1", new InetSocketAddress("127.0.0.1", 9));
             CompletableFuture<String> answer = new CompletableFuture<>();
             live.on(() -> {
-                live.core.listed(
+                live.core.updateWorkers(
                         ListKind.CACHED, List.of(new Worker(1, 0, 0, 0, WorkerState.READY, 0)), Map.of(1L, port));
                 return live.take("a-1", answer);
             });
--- a/src/test/java/gorserill/protocol/http/WriteGateTest.java
+++ b/src/test/java/gorserill/protocol/http/WriteGateTest.java
@@ -34,7 +34,7 @@
     private static List<HttpWorker> two(LiveCore live, StandInWorkers workers) throws Exception {
         List<HttpWorker> ports = List.of(live.port("w1", workers.address(0)), live.port("w2", workers.address(1)));
         live.on(() -> {
-            live.core.listed(
+            live.core.updateWorkers(
                     ListKind.WHOLE,
                     List.of(worker(0, WorkerState.READY), worker(1, WorkerState.READY)),
                     Map.of(1L, live.crossed(ports.get(0)), 2L, live.crossed(ports.get(1))));
@@ -60,9 +60,10 @@
                 switch (how) {
                     case "moves" -> ports.get(up.place()).moveTo(workers.address(2));
                     case "is left out of a whole list" ->
-                        live.core.listed(ListKind.WHOLE, List.of(worker(1 - up.place(), WorkerState.READY)), Map.of());
+                        live.core.updateWorkers(
+                                ListKind.WHOLE, List.of(worker(1 - up.place(), WorkerState.READY)), Map.of());
                     default ->
-                        live.core.listed(
+                        live.core.updateWorkers(
                                 ListKind.CHANGES,
                                 List.of(worker(
                                         up.place(), how.equals("drains") ? WorkerState.DRAINING : WorkerState.GONE)),
@@ -93,7 +94,7 @@
             Accepted at = workers.next();
             assertTrue(at.head().contains("X-Txn: a-1\r\n"));
             live.on(() -> {
-                live.core.listed(ListKind.CHANGES, List.of(worker(at.place(), WorkerState.DRAINING)), Map.of());
+                live.core.updateWorkers(ListKind.CHANGES, List.of(worker(at.place(), WorkerState.DRAINING)), Map.of());
                 return null;
             });
             at.serve();
@@ -108,7 +109,7 @@
                 StandInWorkers workers = new StandInWorkers(2)) {
             HttpWorker port = live.port("w1", workers.address(0));
             live.on(() -> {
-                live.core.listed(ListKind.WHOLE, List.of(worker(0, WorkerState.READY)), Map.of(1L, port));
+                live.core.updateWorkers(ListKind.WHOLE, List.of(worker(0, WorkerState.READY)), Map.of(1L, port));
                 return null;
             });
             CompletableFuture<String> answer = new CompletableFuture<>();
@@ -202,7 +203,7 @@
                 StandInWorkers workers = new StandInWorkers(1)) {
             InetSocketAddress front = live.listen();
             live.on(() -> {
-                live.core.listed(
+                live.core.updateWorkers(
                         ListKind.WHOLE,
                         List.of(worker(0, WorkerState.READY)),
                         Map.of(1L, live.port("w1", workers.address(0))));
--- a/src/test/java/gorserill/protocol/peers/PeerPortTest.java
+++ b/src/test/java/gorserill/protocol/peers/PeerPortTest.java
@@ -48,17 +48,17 @@
             try {
                 send(stranger, listen, 20, 1);
                 send(me, listen, 20, 2);
-                send(peer, listen, PeerPort.MOST + 1, 3);
+                send(peer, listen, PeerPort.MAX_MESSAGE_BYTES + 1, 3);
                 send(peer, listen, 2_000, 4);
-                send(peer, listen, PeerPort.MOST, 5);
+                send(peer, listen, PeerPort.MAX_MESSAGE_BYTES, 5);
                 send(peer, listen, 7, 6);
                 assertEquals(heard.poll(5, TimeUnit.SECONDS), "1:256");
                 assertEquals(heard.poll(5, TimeUnit.SECONDS), "1:7");
                 assertEquals(heard.size(), 0);
 
                 loop.execute(() -> {
-                    port.tell(new byte[PeerPort.MOST + 1]);
-                    port.tell(new byte[] {1, 2, 3});
+                    port.broadcast(new byte[PeerPort.MAX_MESSAGE_BYTES + 1]);
+                    port.broadcast(new byte[] {1, 2, 3});
                 });
                 byte[] got = new byte[512];
                 DatagramPacket packet = new DatagramPacket(got, got.length);
--- a/src/test/java/gorserill/routing/CoreRulesProperties.java
+++ b/src/test/java/gorserill/routing/CoreRulesProperties.java
@@ -152,7 +152,7 @@
         if (message.length > 0 && random.nextBoolean()) {
             message[random.nextInt(message.length)] = (byte) random.nextInt();
         }
-        core.heard(random.nextInt(8) - 1, message);
+        core.receivedFromPeer(random.nextInt(8) - 1, message);
     }
 
     /** Microseconds of the test's clock. */
@@ -163,12 +163,12 @@
     private void restart(long seed) {
         loop = new Loop(faults::add, () -> nanos[0]);
         core = new Core(loop, settings, seed, () -> {});
-        core.peers(message -> {
+        core.setPeerSender(message -> {
             assertTrue(settings.signs().peers() && message.length <= 256, "a message that may not be sent");
             told = message;
         });
         List<Worker> all = ports.values().stream().map(Port::entry).toList();
-        core.listed(ListKind.CACHED, all, ports);
+        core.updateWorkers(ListKind.CACHED, all, ports);
     }
 
     /** The process ends at once: its clients lose their connections, workers run on what they have. */
@@ -184,10 +184,10 @@
         open.add(job);
         long left = random.nextInt(30) == 0 ? 0 : 200_000 + random.nextLong(1_300_000);
         job.expires = now() + left;
-        job.handle = core.take(
+        job.handle = core.submit(
                 job,
-                new Work("j" + job.number, job.jobClass, null, "k" + job.number, null, new byte[0]),
-                new Ask(
+                new JobSpec("j" + job.number, job.jobClass, null, "k" + job.number, null, new byte[0]),
+                new RequestOptions(
                         loop.now(),
                         left,
                         random.nextInt(9) == 0,
@@ -210,7 +210,7 @@
         } else {
             port.toldAt = Math.min(port.toldAt, now());
         }
-        core.listed(ListKind.CHANGES, List.of(port.entry()), Map.of());
+        core.updateWorkers(ListKind.CHANGES, List.of(port.entry()), Map.of());
     }
 
     private void leave(SplittableRandom random) {
@@ -272,7 +272,7 @@
     }
 
     /** A job as its client sees it. */
-    private final class Job implements Front {
+    private final class Job implements ResponseHandler {
         final int number;
         final int jobClass;
         final List<String> answers = new ArrayList<>();
@@ -379,7 +379,7 @@
         }
 
         @Override
-        public void start(Attempt attempt, Work work, long expires) {
+        public void start(Attempt attempt, JobSpec work, long expires) {
             Job job = jobs.get(Integer.parseInt(work.id().substring(1)));
             assertTrue(job.answers.isEmpty() && !job.gone, job + " was sent on after its end");
             assertTrue(
@@ -402,7 +402,7 @@
         }
 
         @Override
-        public boolean callOff(Attempt attempt) {
+        public boolean abort(Attempt attempt) {
             for (Try t : out) {
                 if (t.attempt == attempt) {
                     out.remove(t);
--- a/src/test/java/gorserill/routing/CoreTest.java
+++ b/src/test/java/gorserill/routing/CoreTest.java
@@ -16,7 +16,7 @@
 import barrowflow.Dispatcher.Worker;
 import barrowflow.Dispatcher.WorkerState;
 import gorserill.common.Loop;
-import gorserill.common.Siblings;
+import gorserill.common.SiblingProcesses;
 import java.lang.reflect.Proxy;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -95,13 +95,13 @@
         return take(front, jobClass, timeLeft, null);
     }
 
-    private long take(Answers front, int jobClass, long timeLeft, Bond bond) {
-        Work work = new Work("r", jobClass, null, null, null, new byte[0], bond);
-        return core.take(front, work, new Ask(loop.now(), timeLeft, false, 0, 0, 1, 0));
+    private long take(Answers front, int jobClass, long timeLeft, JobContract bond) {
+        JobSpec work = new JobSpec("r", jobClass, null, null, null, new byte[0], bond);
+        return core.submit(front, work, new RequestOptions(loop.now(), timeLeft, false, 0, 0, 1, 0));
     }
 
     /** What binds a job, and how often it was let go. */
-    private static final class Bound implements Bond {
+    private static final class Bound implements JobContract {
         final Effect effect;
         final boolean accepts;
         int over;
@@ -117,18 +117,18 @@
         }
 
         @Override
-        public boolean accepts(byte[] result) {
+        public boolean acceptsResult(byte[] result) {
             return accepts;
         }
 
         @Override
-        public void over() {
+        public void release() {
             over++;
         }
     }
 
     private void list(ListKind kind, WorkerState state, Map<Long, ? extends WorkerPort> ports) {
-        core.listed(
+        core.updateWorkers(
                 kind,
                 ports.keySet().stream()
                         .map(id -> new Worker(id, 0, 0, 0, state, 0))
@@ -137,7 +137,7 @@
     }
 
     /** What came of a request. */
-    private static final class Answers implements Front {
+    private static final class Answers implements ResponseHandler {
         final List<String> given = new ArrayList<>();
         final CountDownLatch first = new CountDownLatch(1);
         long wait;
@@ -181,13 +181,13 @@
         }
 
         @Override
-        public void start(Attempt attempt, Work work, long expires) {
+        public void start(Attempt attempt, JobSpec work, long expires) {
             got.add(attempt);
             first.countDown();
         }
 
         @Override
-        public boolean callOff(Attempt attempt) {
+        public boolean abort(Attempt attempt) {
             calledOff++;
             return neverRan;
         }
@@ -264,7 +264,7 @@
     public void workersThatCameByThemselvesOutliveALastingList() throws Exception {
         Keeper guest = new Keeper(false);
         on(() -> {
-            core.guest(new Worker(9, 0, 9, 0, WorkerState.READY, 0), guest);
+            core.updateRegisteredWorker(new Worker(9, 0, 9, 0, WorkerState.READY, 0), guest);
             list(ListKind.WHOLE, WorkerState.READY, Map.of());
             return null;
         });
@@ -272,7 +272,7 @@
         assertTrue(guest.first.await(5, TimeUnit.SECONDS));
         Answers front = new Answers();
         on(() -> {
-            core.guest(new Worker(9, 0, 9, 0, WorkerState.GONE, 0), guest);
+            core.updateRegisteredWorker(new Worker(9, 0, 9, 0, WorkerState.GONE, 0), guest);
             return take(front, SAFE, DEADLINE);
         });
         assertEquals(front.await(), List.of("refused"));
@@ -334,7 +334,7 @@
         assertEquals(front.await(), List.of("failed"));
         assertEquals(worker.got.size(), 1);
         assertEquals(on(() -> bond.over).intValue(), 1);
-        assertEquals(on(() -> core.tally().failed(SAFE)).longValue(), 1);
+        assertEquals(on(() -> core.statistics().failed(SAFE)).longValue(), 1);
     }
 
     /**
@@ -350,23 +350,23 @@
         LOG.setLevel(Level.OFF);
         on(() -> {
             list(ListKind.WHOLE, WorkerState.READY, Map.of(1L, worker));
-            core.crowded(() -> true);
+            core.setDescriptorShortage(() -> true);
             take(turned, SAFE, DEADLINE);
             assertEquals(turned.given, List.of("refused"), "at once");
             assertEquals(turned.wait, 2_000_000, "with when to return");
             assertEquals(core.openRequests(), 0);
-            core.crowded(() -> false);
-            core.admission((now, jobClass, tenant) -> jobClass == SAFE ? 70_000 : 0);
+            core.setDescriptorShortage(() -> false);
+            core.setAdmissionControl((now, jobClass, tenant) -> jobClass == SAFE ? 70_000 : 0);
             take(over, SAFE, DEADLINE);
             assertEquals(over.given, List.of("refused"), "over the fleet's budget: at once, too");
             assertEquals(over.wait, 70_000, "with when it may come again");
             assertEquals(core.openRequests(), 0);
-            core.admission((now, jobClass, tenant) -> 0);
+            core.setAdmissionControl((now, jobClass, tenant) -> 0);
             return take(served, SAFE, DEADLINE);
         });
         assertTrue(worker.first.await(5, TimeUnit.SECONDS));
         assertEquals(worker.got.size(), 1);
-        assertEquals(on(() -> core.tally().refused(SAFE)).longValue(), 2);
+        assertEquals(on(() -> core.statistics().refused(SAFE)).longValue(), 2);
     }
 
     /** A worker that is forgotten must have no job out: its outcome would be lost. */
@@ -381,9 +381,9 @@
         assertTrue(worker.first.await(5, TimeUnit.SECONDS));
         on(() -> {
             list(ListKind.WHOLE, WorkerState.READY, Map.of());
-            assertFalse(core.forget(1));
+            assertFalse(core.tryForget(1));
             worker.got.get(0).ended(Outcome.SERVED, "yes".getBytes(), Load.NONE);
-            assertTrue(core.forget(1));
+            assertTrue(core.tryForget(1));
             return null;
         });
         assertEquals(front.await(), List.of("served yes"));
@@ -399,7 +399,7 @@
         List<Object> ended = new ArrayList<>();
         long[] nanos = {0};
         Loop own = new Loop(faults::add, () -> nanos[0]);
-        Core guarded = new Core(own, settings, () -> {}, Siblings.none(), (now, core) -> {
+        Core guarded = new Core(own, settings, () -> {}, SiblingProcesses.none(), (now, core) -> {
             Dispatcher module = new Choice(settings, 7, now, core);
             return (Dispatcher) Proxy.newProxyInstance(
                     CoreTest.class.getClassLoader(), new Class<?>[] {Dispatcher.class}, (proxy, method, args) -> {
@@ -414,7 +414,8 @@
         });
         Keeper worker = new Keeper(false);
         LOG.setLevel(Level.OFF);
-        guarded.listed(ListKind.WHOLE, List.of(new Worker(1, 0, 0, 0, WorkerState.READY, 0)), Map.of(1L, worker));
+        guarded.updateWorkers(
+                ListKind.WHOLE, List.of(new Worker(1, 0, 0, 0, WorkerState.READY, 0)), Map.of(1L, worker));
         Answers paused = new Answers();
         takeUnsafe(guarded, own, paused);
         nanos[0] += 150_000_000;
@@ -435,10 +436,10 @@
     }
 
     private void takeUnsafe(Core by, Loop on, Answers front) {
-        by.take(
+        by.submit(
                 front,
-                new Work("r", SAFE, null, null, null, new byte[0], new Bound(Effect.UNSAFE, true)),
-                new Ask(on.now(), 500_000, false, 0, 0, 1, 0));
+                new JobSpec("r", SAFE, null, null, null, new byte[0], new Bound(Effect.UNSAFE, true)),
+                new RequestOptions(on.now(), 500_000, false, 0, 0, 1, 0));
     }
 
     /** Danger: exactly one final answer, and no unsafe job twice, whatever the workers and clients do. */
@@ -450,7 +451,7 @@
             start();
             Random random = new Random(seed);
             Map<Long, WorkerPort> ports = new HashMap<>();
-            Map<Work, Integer> ran = new HashMap<>();
+            Map<JobSpec, Integer> ran = new HashMap<>();
             for (long id = 1; id <= 4; id++) {
                 ports.put(id, new Erratic(random, ran));
             }
@@ -490,7 +491,8 @@
                 fronts.forEach(front -> assertEquals(front.given.size(), 1, front.given.toString()));
                 left.forEach(front -> assertEquals(front.given.size(), 0, front.given.toString()));
                 ran.forEach((work, times) -> assertTrue(
-                        work.jobClass() == SAFE && work.bond().effect() == Effect.SAFE || times == 1, times + " runs"));
+                        work.jobClass() == SAFE && work.contract().effect() == Effect.SAFE || times == 1,
+                        times + " runs"));
                 bonds.forEach(bond -> assertEquals(bond.over, 1));
                 assertTrue(!ran.isEmpty());
                 return null;
@@ -501,15 +503,15 @@
     /** Ends its attempts in every way there is, or not at all. */
     private final class Erratic implements WorkerPort {
         private final Random random;
-        private final Map<Work, Integer> ran;
+        private final Map<JobSpec, Integer> ran;
 
-        Erratic(Random random, Map<Work, Integer> ran) {
+        Erratic(Random random, Map<JobSpec, Integer> ran) {
             this.random = random;
             this.ran = ran;
         }
 
         @Override
-        public void start(Attempt attempt, Work work, long expires) {
+        public void start(Attempt attempt, JobSpec work, long expires) {
             Outcome outcome = Outcome.values()[random.nextInt(6)];
             if (!outcome.neverRan) {
                 ran.merge(work, 1, Integer::sum);
@@ -523,7 +525,7 @@
         }
 
         @Override
-        public boolean callOff(Attempt attempt) {
+        public boolean abort(Attempt attempt) {
             return false;
         }
     }
