--- a/src/main/java/barrowflow/Dispatcher.java
+++ b/src/main/java/barrowflow/Dispatcher.java
@@ -74,11 +74,11 @@
      * {@code lateShare} of it after that. {@code machineKind} is the one kind that runs it, or -1 for any.
      */
     record JobClass(
-            long aim,
-            double stretch,
+            long targetTime,
+            double runTimeFactor,
             long deadline,
-            double worth,
-            double lateShare,
+            double value,
+            double lateValueFactor,
             Effect effect,
             Group group,
             long dedupWindow,
@@ -91,15 +91,15 @@
      * A worker just started has at least {@code from} of its capacity, and all of it after {@code warmUp}.
      * Sent more than {@code fallMultiple} times what it has over a {@code fallWindow}, it falls over.
      */
-    record Cold(double from, long warmUp, double fallMultiple, long fallWindow) {}
+    record Cold(double initialFraction, long warmUp, double overloadFactor, long overloadWindow) {}
 
     /**
      * What the result is made of: the weights of the whole run and of the worst-served class, and whether
      * worth counts for each unit of work ({@code byWork}) or for each job.
      */
-    record Goal(double whole, double worstClass, boolean byWork) {
+    record Objective(double overallWeight, double worstClassWeight, boolean weightByWork) {
         /** Nothing told: the whole run counts, by the job. */
-        public static final Goal UNTOLD = new Goal(1, 0, false);
+        public static final Objective DEFAULT = new Objective(1, 0, false);
     }
 
     /**
@@ -107,8 +107,8 @@
      * dispatchers ({@code peerPrice} for one full message a job) and probes ({@code probePrice} for one a
      * job); {@code reportsByProbe} where load reports come with probes alone.
      */
-    record Signs(boolean peers, double peerPrice, boolean probes, double probePrice, boolean reportsByProbe) {
-        public static final Signs NONE = new Signs(false, 0, false, 0, false);
+    record LoadSources(boolean peers, double peerPrice, boolean probes, double probePrice, boolean reportsOnlyByProbe) {
+        public static final LoadSources NONE = new LoadSources(false, 0, false, 0, false);
     }
 
     /**
@@ -120,48 +120,48 @@
             int zone,
             List<JobClass> classes,
             List<Tenant> tenants,
-            double overShareWorth,
-            Cold cold,
+            double overShareValue,
+            Cold coldStart,
             int maxAttempts,
             boolean mayCancel,
             long maxRetryAfter,
-            boolean listOnRequest,
+            boolean listOnDemand,
             boolean startNotices,
             double crossZonePrice,
-            boolean secondCopies,
-            Goal goal,
-            Signs signs) {
+            boolean hedging,
+            Objective objective,
+            LoadSources loadSources) {
         /** The same where neither a goal nor ways to learn are told. */
         public Settings(
                 int dispatchers,
                 int zone,
                 List<JobClass> classes,
                 List<Tenant> tenants,
-                double overShareWorth,
-                Cold cold,
+                double overShareValue,
+                Cold coldStart,
                 int maxAttempts,
                 boolean mayCancel,
                 long maxRetryAfter,
-                boolean listOnRequest,
+                boolean listOnDemand,
                 boolean startNotices,
                 double crossZonePrice,
-                boolean secondCopies) {
+                boolean hedging) {
             this(
                     dispatchers,
                     zone,
                     classes,
                     tenants,
-                    overShareWorth,
-                    cold,
+                    overShareValue,
+                    coldStart,
                     maxAttempts,
                     mayCancel,
                     maxRetryAfter,
-                    listOnRequest,
+                    listOnDemand,
                     startNotices,
                     crossZonePrice,
-                    secondCopies,
-                    Goal.UNTOLD,
-                    Signs.NONE);
+                    hedging,
+                    Objective.DEFAULT,
+                    LoadSources.NONE);
         }
 
         /** The same where no second copy may be sent while the first is out. */
@@ -170,12 +170,12 @@
                 int zone,
                 List<JobClass> classes,
                 List<Tenant> tenants,
-                double overShareWorth,
-                Cold cold,
+                double overShareValue,
+                Cold coldStart,
                 int maxAttempts,
                 boolean mayCancel,
                 long maxRetryAfter,
-                boolean listOnRequest,
+                boolean listOnDemand,
                 boolean startNotices,
                 double crossZonePrice) {
             this(
@@ -183,12 +183,12 @@
                     zone,
                     classes,
                     tenants,
-                    overShareWorth,
-                    cold,
+                    overShareValue,
+                    coldStart,
                     maxAttempts,
                     mayCancel,
                     maxRetryAfter,
-                    listOnRequest,
+                    listOnDemand,
                     startNotices,
                     crossZonePrice,
                     false);
@@ -201,17 +201,22 @@
                     zone,
                     classes,
                     tenants,
-                    overShareWorth,
-                    cold,
+                    overShareValue,
+                    coldStart,
                     maxAttempts,
                     mayCancel,
                     maxRetryAfter,
-                    listOnRequest,
+                    listOnDemand,
                     startNotices,
                     crossZonePrice,
-                    secondCopies,
-                    goal,
-                    new Signs(false, 0, signs.probes(), signs.probePrice(), signs.reportsByProbe()));
+                    hedging,
+                    objective,
+                    new LoadSources(
+                            false,
+                            0,
+                            loadSources.probes(),
+                            loadSources.probePrice(),
+                            loadSources.reportsOnlyByProbe()));
         }
 
         public Settings {
@@ -219,12 +224,14 @@
                 throw new IllegalArgumentException("settings need a dispatcher, an attempt and a class");
             }
             for (JobClass c : classes) {
-                if (c.aim() < 0 || c.deadline() < 0 || !(c.worth() > 0)) {
+                if (c.targetTime() < 0 || c.deadline() < 0 || !(c.value() > 0)) {
                     throw new IllegalArgumentException("a class needs a time and a worth: " + c);
                 }
             }
-            if (!(cold.from() > 0 && cold.fallMultiple() > 0) || cold.warmUp() < 0 || cold.fallWindow() < 1) {
-                throw new IllegalArgumentException("impossible limits for cold workers: " + cold);
+            if (!(coldStart.initialFraction() > 0 && coldStart.overloadFactor() > 0)
+                    || coldStart.warmUp() < 0
+                    || coldStart.overloadWindow() < 1) {
+                throw new IllegalArgumentException("impossible limits for cold workers: " + coldStart);
             }
         }
     }
@@ -233,7 +240,7 @@
      * A line of the worker list; {@code startedAt} is 0 for long ago. {@code name} is the same at every
      * dispatcher, {@code id} the host's own number for it.
      */
-    record Worker(long id, int kind, int zone, int cell, WorkerState state, long startedAt, long name) {
+    record Worker(long id, int kind, int zone, int cell, WorkerState state, long startedAt, long globalId) {
         /** A worker whose number is the same at every dispatcher. */
         public Worker(long id, int kind, int zone, int cell, WorkerState state, long startedAt) {
             this(id, kind, zone, cell, state, startedAt, id);
@@ -244,7 +251,7 @@
      * What a dispatcher has learned, for another one with the same settings that takes its place. The figures
      * mean something to the module alone; {@code workers} has them by id.
      */
-    record Learned(List<Double> all, Map<Long, List<Double>> workers) {}
+    record LearnedState(List<Double> shared, Map<Long, List<Double>> byWorker) {}
 
     /** What the module may ask of its host; each call is an obligation to act at once. */
     interface Actions {
@@ -353,13 +360,13 @@
     boolean avoids(long now, long worker);
 
     /** What has been learned so far. */
-    Learned learned(long now);
+    LearnedState learned(long now);
 
     /**
      * Begins with what another dispatcher has learned, also bit by bit; workers that are not known here are
      * left out, and so is everything if it is not of this module's making.
      */
-    void recall(long now, Learned learned);
+    void recall(long now, LearnedState learned);
 
     /** A time asked for with {@link Actions#timerAt} has come. */
     void timer(long now);
--- a/src/main/java/barrowflow/Shares.java
+++ b/src/main/java/barrowflow/TenantShares.java
@@ -9,15 +9,15 @@
  * How much of its share each tenant has used: figures of this dispatcher's, and of the others' where they
  * tell them. It says what is over a share; what becomes of that, {@link Choice} decides.
  */
-final class Shares {
+final class TenantShares {
     /** Use is seen over two seconds; so much may come at once, or three jobs. */
-    private static final double MEMORY = 2e6;
+    private static final double USAGE_DECAY_MICROS = 2e6;
 
-    private static final double BURST = 3;
+    private static final double MIN_BURST_JOBS = 3;
     /** Honest tenants are held to use this part of their shares. */
-    private static final double USUAL_USE = 0.8;
+    private static final double TYPICAL_UTILIZATION = 0.8;
     /** Where few jobs were seen, each dispatcher's part of a tenant's counts as even: so many jobs' worth. */
-    private static final double EVEN = 0.5;
+    private static final double EVEN_PRIOR_JOBS = 0.5;
 
     private final List<Tenant> tenants;
     private final int dispatchers;
@@ -25,16 +25,16 @@
     /** Jobs seen of late, over the tenant's jobs a second. */
     private final double[] usage;
 
-    private double jobs;
+    private double recentJobs;
     /** The part of the memory that has been lived through. */
-    private double known;
+    private double observedFraction;
 
-    Shares(List<Tenant> tenants, int dispatchers) {
+    TenantShares(List<Tenant> tenants, int dispatchers) {
         this.tenants = tenants;
         this.dispatchers = dispatchers;
         allowance = new double[tenants.size()];
         usage = new double[allowance.length];
-        Arrays.fill(allowance, BURST);
+        Arrays.fill(allowance, MIN_BURST_JOBS);
     }
 
     /**
@@ -45,8 +45,8 @@
      * @param tenant none of the settings', where these name some, has no share
      * @param first not a client's repeat
      */
-    boolean within(int tenant, boolean first) {
-        jobs += first ? 1 : 0;
+    boolean tryAcquire(int tenant, boolean first) {
+        recentJobs += first ? 1 : 0;
         if (tenant < 0 || tenant >= allowance.length) {
             return allowance.length == 0;
         } else if (tenants.get(tenant).jobsPerSecond() <= 0) {
@@ -68,31 +68,32 @@
         boolean told = others != null && others.others() > 0;
         double[] sorted = usage.clone();
         Arrays.sort(sorted);
-        double median = sorted.length < 3 ? 0 : sorted[(sorted.length - 1) / 2] * 1e6 / MEMORY;
-        double even = Math.max(1.0 / dispatchers, median / USUAL_USE);
+        double median = sorted.length < 3 ? 0 : sorted[(sorted.length - 1) / 2] * 1e6 / USAGE_DECAY_MICROS;
+        double even = Math.max(1.0 / dispatchers, median / TYPICAL_UTILIZATION);
         for (int t = 0; t < allowance.length; t++) {
             double share = tenants.get(t).jobsPerSecond();
-            double seen = usage[t] * share * 1e6 / MEMORY;
-            double part = (seen + EVEN) / (seen + (told ? others.perSecond(t) : 0) + EVEN * dispatchers);
-            double mine = told ? part * known + even * (1 - known) : even;
+            double seen = usage[t] * share * 1e6 / USAGE_DECAY_MICROS;
+            double part = (seen + EVEN_PRIOR_JOBS)
+                    / (seen + (told ? others.perSecond(t) : 0) + EVEN_PRIOR_JOBS * dispatchers);
+            double mine = told ? part * observedFraction + even * (1 - observedFraction) : even;
             double rate = share * mine / 1e6;
-            allowance[t] = Math.min(Math.max(BURST, rate * MEMORY), allowance[t] + rate * period);
-            usage[t] *= Math.exp(-period / MEMORY);
+            allowance[t] = Math.min(Math.max(MIN_BURST_JOBS, rate * USAGE_DECAY_MICROS), allowance[t] + rate * period);
+            usage[t] *= Math.exp(-period / USAGE_DECAY_MICROS);
         }
-        jobs *= Math.exp(-period / MEMORY);
-        known += (1 - known) * (1 - Math.exp(-period / MEMORY));
+        recentJobs *= Math.exp(-period / USAGE_DECAY_MICROS);
+        observedFraction += (1 - observedFraction) * (1 - Math.exp(-period / USAGE_DECAY_MICROS));
     }
 
     /** First tries of all tenants that this dispatcher sees a second. */
     double jobsPerSecond() {
-        return jobs * 1e6 / MEMORY;
+        return recentJobs * 1e6 / USAGE_DECAY_MICROS;
     }
 
     /** The same of each tenant that has a share. */
-    double[] perSecond() {
+    double[] jobsPerSecondByTenant() {
         double[] rates = usage.clone();
         for (int t = 0; t < rates.length; t++) {
-            rates[t] *= tenants.get(t).jobsPerSecond() * 1e6 / MEMORY;
+            rates[t] *= tenants.get(t).jobsPerSecond() * 1e6 / USAGE_DECAY_MICROS;
         }
         return rates;
     }
--- a/src/main/java/barrowflow/adapter/SettingsParser.java
+++ b/src/main/java/barrowflow/adapter/SettingsParser.java
@@ -2,11 +2,11 @@
 
 import barrowflow.Dispatcher.Cold;
 import barrowflow.Dispatcher.Effect;
-import barrowflow.Dispatcher.Goal;
 import barrowflow.Dispatcher.Group;
 import barrowflow.Dispatcher.JobClass;
+import barrowflow.Dispatcher.LoadSources;
+import barrowflow.Dispatcher.Objective;
 import barrowflow.Dispatcher.Settings;
-import barrowflow.Dispatcher.Signs;
 import barrowflow.Dispatcher.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -61,11 +61,11 @@
                 flag("domain.tells_start"),
                 number("prices.cross_zone", 0.0),
                 flag("caps.second_copies") && flag("caps.may_cancel"),
-                new Goal(
+                new Objective(
                         number("goal.whole", 1.0),
                         number("goal.worst_class", 0.0),
                         word("counted_by", "request").equals("work")),
-                new Signs(
+                new LoadSources(
                         flag("caps.peers"),
                         number("prices.peer", 0.0),
                         flag("caps.probes"),
--- a/src/main/java/gorserill/program/Fleet.java
+++ b/src/main/java/gorserill/program/Fleet.java
@@ -1,6 +1,6 @@
 package gorserill.program;
 
-import barrowflow.Dispatcher.Learned;
+import barrowflow.Dispatcher.LearnedState;
 import barrowflow.Dispatcher.ListKind;
 import barrowflow.Dispatcher.Worker;
 import barrowflow.Dispatcher.WorkerState;
@@ -192,7 +192,7 @@
             }
         });
         if (!known.isEmpty()) {
-            core.recall(new Learned(List.of(), known));
+            core.recall(new LearnedState(List.of(), known));
         }
     }
 
--- a/src/main/java/gorserill/program/Handover.java
+++ b/src/main/java/gorserill/program/Handover.java
@@ -1,6 +1,6 @@
 package gorserill.program;
 
-import barrowflow.Dispatcher.Learned;
+import barrowflow.Dispatcher.LearnedState;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -58,7 +58,7 @@
             Map<String, Figures> workers = new HashMap<>();
             List<Double> all = read(workers);
             if (all != null) {
-                core.recall(new Learned(all, Map.of()));
+                core.recall(new LearnedState(all, Map.of()));
                 fleet.recall(workers);
                 LOG.log(Level.INFO, "{0} begins with what was learned of {1} workers", new Object[] {
                     node, workers.size()
@@ -84,7 +84,7 @@
     }
 
     private void write() throws IOException {
-        Learned learned = core.learned();
+        LearnedState learned = core.learned();
         Path fresh = Files.createTempFile(file.getParent(), file.getFileName().toString(), ".new");
         try {
             write(fresh, learned);
@@ -95,15 +95,15 @@
         }
     }
 
-    private void write(Path fresh, Learned learned) throws IOException {
+    private void write(Path fresh, LearnedState learned) throws IOException {
         try (JsonGenerator json = JSON.createGenerator(Files.newOutputStream(fresh))) {
             json.writeStartObject();
             json.writeStringField("node", node);
             json.writeFieldName("all");
-            numbers(json, learned.all());
+            numbers(json, learned.shared());
             json.writeObjectFieldStart("workers");
             fleet.forEachListed((id, entry) -> {
-                List<Double> its = learned.workers().get(id);
+                List<Double> its = learned.byWorker().get(id);
                 if (its != null) {
                     try {
                         json.writeArrayFieldStart(entry.name());
--- a/src/main/java/gorserill/program/Node.java
+++ b/src/main/java/gorserill/program/Node.java
@@ -130,7 +130,7 @@
                 transport.apart(HttpWatch.MOST_CONNECTIONS),
                 transport.chainOfFacts(HttpCodec.client(loop, MAX_LISTING)),
                 config.discovery,
-                new CallPace(config.settings.dispatchers(), !config.settings.listOnRequest(), config.seed),
+                new CallPace(config.settings.dispatchers(), !config.settings.listOnDemand(), config.seed),
                 this::heard,
                 this::watchFailed);
         if (config.known != null) {
@@ -168,7 +168,7 @@
         if (config.known != null) {
             fleet.tell(ListKind.CACHED, config.known);
         }
-        if (!config.settings.listOnRequest()) {
+        if (!config.settings.listOnDemand()) {
             watch.start();
         }
         loop.at(loop.now() + MINUTE, this::tellMinute);
@@ -220,7 +220,7 @@
         loop.execute(this::opened);
         // Danger: a node that knows of no worker would draw clients and refuse them all.
         if (config.known != null && !config.known.entries().isEmpty()) {
-            long first = config.settings.listOnRequest() ? FIRST_LIST : CallPace.AGENT * 1_000;
+            long first = config.settings.listOnDemand() ? FIRST_LIST : CallPace.AGENT * 1_000;
             loop.execute(() -> loop.at(loop.now() + first, () -> ready("no word from discovery yet")));
         }
     }
--- a/src/main/java/gorserill/program/NodeConfig.java
+++ b/src/main/java/gorserill/program/NodeConfig.java
@@ -109,7 +109,7 @@
         } catch (IllegalArgumentException e) {
             throw new ConfigException("settings", e.getMessage());
         }
-        peers = told.signs().peers() ? peers(top, values) : null;
+        peers = told.loadSources().peers() ? peers(top, values) : null;
         settings = peers == null ? told.withoutPeers() : told;
         tenantNames = new ArrayList<>();
         for (int t = 0; t < settings.tenants().size(); t++) {
--- a/src/main/java/gorserill/routing/Core.java
+++ b/src/main/java/gorserill/routing/Core.java
@@ -3,7 +3,7 @@
 import barrowflow.Choice;
 import barrowflow.Dispatcher;
 import barrowflow.Dispatcher.JobClass;
-import barrowflow.Dispatcher.Learned;
+import barrowflow.Dispatcher.LearnedState;
 import barrowflow.Dispatcher.ListKind;
 import barrowflow.Dispatcher.Outcome;
 import barrowflow.Dispatcher.Settings;
@@ -253,12 +253,12 @@
     }
 
     /** What the module has learned, for a process that takes this one's place. */
-    public Learned learned() {
+    public LearnedState learned() {
         return module.learned(now());
     }
 
     /** The module begins with what another process's has learned. */
-    public void recall(Learned learned) {
+    public void recall(LearnedState learned) {
         module.recall(now(), learned);
     }
 
--- a/src/test/java/barrowflow/ColdRampTest.java
+++ b/src/test/java/barrowflow/ColdRampTest.java
@@ -4,11 +4,11 @@
 
 import barrowflow.Dispatcher.Cold;
 import barrowflow.Dispatcher.Effect;
-import barrowflow.Dispatcher.Goal;
 import barrowflow.Dispatcher.Group;
 import barrowflow.Dispatcher.JobClass;
+import barrowflow.Dispatcher.LoadSources;
+import barrowflow.Dispatcher.Objective;
 import barrowflow.Dispatcher.Settings;
-import barrowflow.Dispatcher.Signs;
 import barrowflow.Dispatcher.Worker;
 import barrowflow.Dispatcher.WorkerState;
 import java.util.ArrayList;
@@ -75,8 +75,8 @@
                     true,
                     0,
                     copies,
-                    new Goal(0.7, 0.2, false),
-                    new Signs(hear, 0, false, 0, false));
+                    new Objective(0.7, 0.2, false),
+                    new LoadSources(hear, 0, false, 0, false));
         }
 
         @Override
@@ -198,12 +198,12 @@
         for (int last = 0; last < m.arrivals.size(); last++) {
             long end = m.arrivals.get(last)[0];
             double work = 0;
-            for (int i = last; i >= 0 && m.arrivals.get(i)[0] > end - site.cold.fallWindow(); i--) {
+            for (int i = last; i >= 0 && m.arrivals.get(i)[0] > end - site.cold.overloadWindow(); i--) {
                 // What a job takes beyond its class's mean no dispatcher can know.
                 work += site.works.get((int) m.arrivals.get(i)[2]).mean;
             }
             double capacity = FleetModel.warmth(m.worker, end, settings) * m.slots * m.speed;
-            double n = site.cold.fallMultiple() * capacity * site.cold.fallWindow() / site.meanWork();
+            double n = site.cold.overloadFactor() * capacity * site.cold.overloadWindow() / site.meanWork();
             double allowed = n + 2 * Math.sqrt(n) + 2;
             double reached = work / site.meanWork();
             worst = worst.or(new Peak(reached, allowed));
--- a/src/test/java/barrowflow/FleetModel.java
+++ b/src/test/java/barrowflow/FleetModel.java
@@ -269,10 +269,10 @@
     /** The part of its speed that a machine has now. */
     static double warmth(Worker worker, long now, Settings settings) {
         long since = worker.startedAt();
-        double from = settings.cold().from();
-        return since == 0 || now - since >= settings.cold().warmUp()
+        double from = settings.coldStart().initialFraction();
+        return since == 0 || now - since >= settings.coldStart().warmUp()
                 ? 1
-                : from + (1 - from) * (now - since) / settings.cold().warmUp();
+                : from + (1 - from) * (now - since) / settings.coldStart().warmUp();
     }
 
     private void stop(Run run) {
--- a/src/test/java/barrowflow/FleetTest.java
+++ b/src/test/java/barrowflow/FleetTest.java
@@ -70,7 +70,7 @@
         }
     }
 
-    private static Settings telling(int dispatchers, Dispatcher.Goal goal, boolean peers, JobClass... of) {
+    private static Settings telling(int dispatchers, Dispatcher.Objective goal, boolean peers, JobClass... of) {
         return new Settings(
                 dispatchers,
                 0,
@@ -86,7 +86,7 @@
                 0,
                 false,
                 goal,
-                new Dispatcher.Signs(peers, 0.008, false, 0, false));
+                new Dispatcher.LoadSources(peers, 0.008, false, 0, false));
     }
 
     /**
@@ -102,7 +102,7 @@
         int offered = 0;
         for (int told = 0; told <= 1; told++) {
             for (long seed = 1; seed <= 4; seed++) {
-                Settings settings = telling(3, Dispatcher.Goal.UNTOLD, told == 1, job);
+                Settings settings = telling(3, Dispatcher.Objective.DEFAULT, told == 1, job);
                 FleetModel fleet = new FleetModel(seed);
                 for (long id = 1; id <= 12; id++) {
                     long start = id <= 8 ? 0 : fleet.now;
@@ -197,7 +197,7 @@
                     2,
                     telling(
                             2,
-                            counted == 0 ? Dispatcher.Goal.UNTOLD : new Dispatcher.Goal(0.4, 0.4, true),
+                            counted == 0 ? Dispatcher.Objective.DEFAULT : new Dispatcher.Objective(0.4, 0.4, true),
                             true,
                             small,
                             large));
@@ -214,12 +214,14 @@
     }
 
     private static void assertNeverPushedOver(Machine m, Settings settings) {
-        long window = settings.cold().fallWindow();
+        long window = settings.coldStart().overloadWindow();
         for (int from = 0; from < m.arrivals.size(); from++) {
             double work = 0;
             long since = m.arrivals.get(from)[0];
-            double limit =
-                    settings.cold().fallMultiple() * window * m.slots * FleetModel.warmth(m.worker, since, settings);
+            double limit = settings.coldStart().overloadFactor()
+                    * window
+                    * m.slots
+                    * FleetModel.warmth(m.worker, since, settings);
             for (int i = from; i < m.arrivals.size() && m.arrivals.get(i)[0] <= since + window; i++) {
                 work += m.arrivals.get(i)[1];
             }
--- a/src/test/java/barrowflow/SharesTest.java
+++ b/src/test/java/barrowflow/SharesTest.java
@@ -18,8 +18,8 @@
     /** One tenant's jobs for ten seconds; gives how many of them were within its share at each node. */
     private static int[] within(double[] perSecond, boolean told) {
         int nodes = perSecond.length;
-        List<Shares> shares = IntStream.range(0, nodes)
-                .mapToObj(n -> new Shares(List.of(new Tenant(RATE), new Tenant(RATE)), nodes))
+        List<TenantShares> shares = IntStream.range(0, nodes)
+                .mapToObj(n -> new TenantShares(List.of(new Tenant(RATE), new Tenant(RATE)), nodes))
                 .toList();
         List<Gossip> gossip =
                 IntStream.range(0, nodes).mapToObj(n -> new Gossip(nodes, 0, n)).toList();
@@ -28,11 +28,11 @@
         for (long now = 0; now < 10_000_000; now += PERIOD) {
             for (int n = 0; n < nodes; n++) {
                 for (due[n] += perSecond[n] * PERIOD / 1e6; due[n] >= 1; due[n]--) {
-                    within[n] += shares.get(n).within(0, true) ? 1 : 0;
+                    within[n] += shares.get(n).tryAcquire(0, true) ? 1 : 0;
                 }
                 if (told) {
                     byte[] message = gossip.get(n)
-                            .message(new long[0], new double[0], shares.get(n).perSecond());
+                            .message(new long[0], new double[0], shares.get(n).jobsPerSecondByTenant());
                     for (int other = 0; other < nodes; other++) {
                         if (other != n) {
                             gossip.get(other).heard(now, n, message);
@@ -68,10 +68,10 @@
     void oneThatHasJustBegunCountsItsPartAsEven() {
         Gossip others = new Gossip(2, 0, 1);
         others.heard(0, 1, new Gossip(2, 0, 2).message(new long[0], new double[0], new double[] {10}));
-        Shares shares = new Shares(List.of(new Tenant(RATE)), 2);
+        TenantShares shares = new TenantShares(List.of(new Tenant(RATE)), 2);
         int within = 0;
         for (int i = 0; i < 10; i++) {
-            within += shares.within(0, true) ? 1 : 0;
+            within += shares.tryAcquire(0, true) ? 1 : 0;
             shares.refill(2 * PERIOD, others);
         }
         assertTrue(within >= 9, within + " of the 10 jobs of its first second are within half the share");
@@ -80,20 +80,20 @@
     /** Danger: turned away and come again, a tenant's jobs would use up its share once more. */
     @Test
     void aRepeatUsesUpNothing() {
-        Shares shares = new Shares(List.of(new Tenant(RATE)), 1);
+        TenantShares shares = new TenantShares(List.of(new Tenant(RATE)), 1);
         for (int i = 0; i < 100; i++) {
-            assertTrue(shares.within(0, false));
+            assertTrue(shares.tryAcquire(0, false));
         }
-        assertEquals(0, shares.perSecond()[0]);
-        assertTrue(shares.within(0, true));
+        assertEquals(0, shares.jobsPerSecondByTenant()[0]);
+        assertTrue(shares.tryAcquire(0, true));
     }
 
     @Test
     void whoeverTheSettingsDoNotNameHasNoShareWhereOthersHaveOne() {
-        Shares shares = new Shares(List.of(new Tenant(RATE)), 1);
-        assertFalse(shares.within(-1, true));
-        assertFalse(shares.within(1, true));
-        assertTrue(new Shares(List.of(), 1).within(-1, true), "there are no shares at all");
-        assertTrue(new Shares(List.of(new Tenant(0)), 1).within(0, true), "it has no limit");
+        TenantShares shares = new TenantShares(List.of(new Tenant(RATE)), 1);
+        assertFalse(shares.tryAcquire(-1, true));
+        assertFalse(shares.tryAcquire(1, true));
+        assertTrue(new TenantShares(List.of(), 1).tryAcquire(-1, true), "there are no shares at all");
+        assertTrue(new TenantShares(List.of(new Tenant(0)), 1).tryAcquire(0, true), "it has no limit");
     }
 }
--- a/src/test/java/gorserill/measure/ModuleCapacity.java
+++ b/src/test/java/gorserill/measure/ModuleCapacity.java
@@ -254,7 +254,7 @@
         try (JsonGenerator json = new JsonFactory().createGenerator(out)) {
             json.writeStartObject();
             for (Map.Entry<Long, List<Double>> one :
-                    module.learned(now).workers().entrySet()) {
+                    module.learned(now).byWorker().entrySet()) {
                 json.writeArrayFieldStart("worker-" + one.getKey());
                 json.writeNumber(now);
                 json.writeStartArray();
--- a/src/test/java/gorserill/program/HandoverTest.java
+++ b/src/test/java/gorserill/program/HandoverTest.java
@@ -48,7 +48,7 @@
         Map<String, List<Double>> learned() {
             Map<String, List<Double>> byName = new HashMap<>();
             fleet.forEachListed((id, entry) ->
-                    byName.put(entry.name(), core.learned().workers().get(id)));
+                    byName.put(entry.name(), core.learned().byWorker().get(id)));
             assertEquals(faults, List.of());
             return byName;
         }
@@ -87,7 +87,7 @@
         assertNotEquals(next.learned().get("w2"), first.learned().get("w2"));
         List<Double> fresh = next.learned().get("w1");
         next.handover.recall();
-        assertEquals(next.core.learned().all(), first.core.learned().all());
+        assertEquals(next.core.learned().shared(), first.core.learned().shared());
         assertEquals(next.learned().get("w2"), first.learned().get("w2"));
         assertEquals(next.learned().get("w1"), fresh, "it has started anew since");
         next.fleet.tell(ListKind.CHANGES, new Listing(10, false, List.of(entry("w3", 0))));
@@ -104,7 +104,7 @@
         String text = Files.readString(file);
         Listing listing = new Listing(1, true, List.of(entry("w1", 0), entry("w2", 0)));
         Process next = new Process("n1", listing);
-        List<Double> before = next.core.learned().all();
+        List<Double> before = next.core.learned().shared();
         Files.setLastModifiedTime(file, FileTime.fromMillis(System.currentTimeMillis() - 60_000));
         next.handover.recall();
         for (String wrong : List.of(
@@ -116,7 +116,7 @@
                 text.replaceAll("\"all\":\\[[^]]*", "\"all\":[1"))) {
             Files.writeString(file, wrong);
             next.handover.recall();
-            assertEquals(next.core.learned().all(), before, wrong);
+            assertEquals(next.core.learned().shared(), before, wrong);
         }
         next.learned();
     }
--- a/src/test/java/gorserill/routing/CoreRulesProperties.java
+++ b/src/test/java/gorserill/routing/CoreRulesProperties.java
@@ -164,7 +164,7 @@
         loop = new Loop(faults::add, () -> nanos[0]);
         core = new Core(loop, settings, seed, () -> {});
         core.peers(message -> {
-            assertTrue(settings.signs().peers() && message.length <= 256, "a message that may not be sent");
+            assertTrue(settings.loadSources().peers() && message.length <= 256, "a message that may not be sent");
             told = message;
         });
         List<Worker> all = ports.values().stream().map(Port::entry).toList();
@@ -374,7 +374,7 @@
 
         @Override
         public void probe(Consumer<Load> answer) {
-            assertTrue(settings.signs().probes(), "a probe that may not be sent");
+            assertTrue(settings.loadSources().probes(), "a probe that may not be sent");
             answer.accept(id % 3 == 0 ? Load.NONE : new Load(id % 5, Double.NaN));
         }
 
--- a/src/test/java/gorserill/routing/Deployments.java
+++ b/src/test/java/gorserill/routing/Deployments.java
@@ -2,11 +2,11 @@
 
 import barrowflow.Dispatcher.Cold;
 import barrowflow.Dispatcher.Effect;
-import barrowflow.Dispatcher.Goal;
 import barrowflow.Dispatcher.Group;
 import barrowflow.Dispatcher.JobClass;
+import barrowflow.Dispatcher.LoadSources;
+import barrowflow.Dispatcher.Objective;
 import barrowflow.Dispatcher.Settings;
-import barrowflow.Dispatcher.Signs;
 import barrowflow.Dispatcher.Tenant;
 import java.util.ArrayList;
 import java.util.List;
@@ -54,8 +54,8 @@
                 random.nextBoolean(),
                 random.nextInt(3) / 20.0,
                 random.nextBoolean(),
-                new Goal(random.nextInt(11) / 10.0, random.nextInt(11) / 10.0, random.nextBoolean()),
-                new Signs(
+                new Objective(random.nextInt(11) / 10.0, random.nextInt(11) / 10.0, random.nextBoolean()),
+                new LoadSources(
                         random.nextBoolean(),
                         random.nextInt(3) / 100.0,
                         random.nextBoolean(),
--- a/src/test/java/gorserill/routing/ImportsTest.java
+++ b/src/test/java/gorserill/routing/ImportsTest.java
@@ -75,8 +75,8 @@
                 "currentTimeMillis",
                 "java.time",
                 "java.nio.file"));
-        found.addAll(naming("../barrowflow/gossip", "barrowflow.Choice", "barrowflow.Ledger", "java.io"));
-        found.addAll(naming("../barrowflow/probing", "barrowflow.Choice", "barrowflow.Ledger", "java.io"));
+        found.addAll(naming("../barrowflow/gossip", "barrowflow.Choice", "barrowflow.MarketState", "java.io"));
+        found.addAll(naming("../barrowflow/probing", "barrowflow.Choice", "barrowflow.MarketState", "java.io"));
         assertEquals(found, List.of());
     }
 
@@ -139,6 +139,6 @@
     /** Decisions are the module's: the codecs and fronts do not know it. */
     @Test
     public void codecsDecideNothing() throws IOException {
-        assertEquals(naming("protocol", "barrowflow.Choice", "barrowflow.Ledger"), List.of());
+        assertEquals(naming("protocol", "barrowflow.Choice", "barrowflow.MarketState"), List.of());
     }
 }
