--- a/src/main/java/barrowflow/Choice.java
+++ b/src/main/java/barrowflow/Choice.java
@@ -5,7 +5,7 @@
 import barrowflow.Ledger.Job;
 import barrowflow.Ledger.Seller;
 import barrowflow.gossip.Gossip;
-import barrowflow.probing.Prober;
+import barrowflow.probing.ProbeRateLimiter;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -80,7 +80,7 @@
     private Good lastAsked;
     private double part = 1;
     private final Gossip gossip;
-    private final Prober prober;
+    private final ProbeRateLimiter probeRateLimiter;
     private long nextPeriod;
     private long askListAt = Long.MAX_VALUE;
     private int listFailures;
@@ -107,7 +107,9 @@
         ledger.clock(now);
         Signs may = settings.signs();
         gossip = !may.peers() ? null : new Gossip(settings.dispatchers(), may.peerPrice(), (int) random.nextLong());
-        prober = may.probes() && may.reportsByProbe() ? new Prober(settings.dispatchers(), may.probePrice()) : null;
+        probeRateLimiter = may.probes() && may.reportsByProbe()
+                ? new ProbeRateLimiter(settings.dispatchers(), may.probePrice())
+                : null;
         // Danger: dispatchers whose periods align swing together, so the seed spreads their phase.
         nextPeriod = now + 1 + random.nextLong(period);
         out.timerAt(nextPeriod);
@@ -357,14 +359,14 @@
     }
 
     private boolean told() {
-        return gossip != null && gossip.others() > 0;
+        return gossip != null && gossip.peerCount() > 0;
     }
 
     /** Tells the others what is out, and counts what they have out where they were heard. */
     private void gossip(long now) {
         if (gossip != null) {
-            gossip.expire(now);
-            if (gossip.due(now, shares.jobsPerSecond(), hold)) {
+            gossip.expireSilentPeers(now);
+            if (gossip.isMessageDue(now, shares.jobsPerSecond(), hold)) {
                 out.tell(ledger.message(gossip, shares.perSecond()));
             }
             ledger.others(gossip);
@@ -376,7 +378,9 @@
      * many slots a kind of worker has they do not tell, and who has just begun would offer one of each.
      */
     private void probe(long now) {
-        int due = prober == null ? 0 : prober.due(now, sellers.size(), shares.jobsPerSecond());
+        int due = probeRateLimiter == null
+                ? 0
+                : probeRateLimiter.takeDueProbes(now, sellers.size(), shares.jobsPerSecond());
         for (Seller s : ledger.longestUnasked(due, told())) {
             s.probedAt = now;
             out.probe(s.worker.id());
@@ -396,7 +400,7 @@
     public void heard(long now, int from, byte[] message) {
         ledger.clock(now);
         if (gossip != null) {
-            gossip.heard(now, from, message);
+            gossip.receive(now, from, message);
         }
     }
 
--- a/src/main/java/barrowflow/Ledger.java
+++ b/src/main/java/barrowflow/Ledger.java
@@ -306,14 +306,14 @@
     /** What the others tell of their own jobs goes before reports, as long as any is heard. */
     void others(Gossip gossip) {
         for (Seller s : sellers) {
-            s.busy = gossip.others() > 0 ? gossip.taken(s.worker.name()) : s.busy;
+            s.busy = gossip.peerCount() > 0 ? gossip.slotsTakenByPeers(s.worker.name()) : s.busy;
         }
     }
 
     /** What the others are told of own jobs at workers. */
     byte[] message(Gossip gossip, double[] perSecond) {
         List<Seller> used = sellers.stream().filter(s -> s.out > 0).toList();
-        return gossip.message(
+        return gossip.nextMessage(
                 used.stream().mapToLong(s -> s.worker.name()).toArray(),
                 used.stream().mapToDouble(s -> s.out).toArray(),
                 perSecond);
--- a/src/main/java/barrowflow/Shares.java
+++ b/src/main/java/barrowflow/Shares.java
@@ -65,7 +65,7 @@
      * One that has just begun has seen next to nothing: until it has, its part counts as even.
      */
     void refill(double period, Gossip others) {
-        boolean told = others != null && others.others() > 0;
+        boolean told = others != null && others.peerCount() > 0;
         double[] sorted = usage.clone();
         Arrays.sort(sorted);
         double median = sorted.length < 3 ? 0 : sorted[(sorted.length - 1) / 2] * 1e6 / MEMORY;
@@ -73,7 +73,7 @@
         for (int t = 0; t < allowance.length; t++) {
             double share = tenants.get(t).jobsPerSecond();
             double seen = usage[t] * share * 1e6 / MEMORY;
-            double part = (seen + EVEN) / (seen + (told ? others.perSecond(t) : 0) + EVEN * dispatchers);
+            double part = (seen + EVEN) / (seen + (told ? others.peerJobsPerSecond(t) : 0) + EVEN * dispatchers);
             double mine = told ? part * known + even * (1 - known) : even;
             double rate = share * mine / 1e6;
             allowance[t] = Math.min(Math.max(BURST, rate * MEMORY), allowance[t] + rate * period);
--- a/src/main/java/barrowflow/adapter/Adapter.java
+++ b/src/main/java/barrowflow/adapter/Adapter.java
@@ -41,7 +41,7 @@
 
     private final Map<Integer, Instance> instances = new HashMap<>();
     private final Map<Integer, List<Worker>> sheets = new HashMap<>();
-    private final Reply reply = new Reply();
+    private final ReplyWriter reply = new ReplyWriter();
     private long frameAt;
     private ByteBuffer frame;
     private int tailAt;
@@ -52,31 +52,32 @@
         byte[] header = new byte[8];
         for (int got; (got = in.readNBytes(header, 0, 8)) > 0; ) {
             if (got < 8) {
-                throw new Malformed("input ends within a header", frameAt + got);
+                throw new MalformedFrameException("input ends within a header", frameAt + got);
             }
             ByteBuffer start = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
             int length = start.getInt(4);
             if (length < HEADER - 8 || length > MAX_FRAME) {
-                throw new Malformed("impossible length " + Integer.toUnsignedString(length), frameAt + 4);
+                throw new MalformedFrameException("impossible length " + Integer.toUnsignedString(length), frameAt + 4);
             }
             byte[] body = in.readNBytes(length);
             if (body.length < length) {
-                throw new Malformed("input ends within a frame", frameAt + 8 + body.length);
+                throw new MalformedFrameException("input ends within a frame", frameAt + 8 + body.length);
             }
             frame = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
-            reply.begin(start.getInt(0));
+            reply.beginBatch(start.getInt(0));
             batch();
             reply.writeTo(out);
             frameAt += 8 + length;
         }
     }
 
-    private void batch() throws Malformed {
+    private void batch() throws MalformedFrameException {
         int records = frame.getInt(0);
         now = frame.getLong(4);
         int first = HEADER - 8;
         if (records < 0 || records > (frame.capacity() - first) / RECORD) {
-            throw new Malformed(Integer.toUnsignedString(records) + " records do not fit the length", frameAt + 8);
+            throw new MalformedFrameException(
+                    Integer.toUnsignedString(records) + " records do not fit the length", frameAt + 8);
         }
         tailAt = first + records * RECORD;
         int on = -1;
@@ -87,7 +88,7 @@
             } else if (code == SHEET) {
                 sheets.put(frame.getInt(at + 1), entries(at + 5));
             } else if (on < 0) {
-                throw new Malformed("an event before any instance is named", frameAt + 8 + at);
+                throw new MalformedFrameException("an event before any instance is named", frameAt + 8 + at);
             } else {
                 guarded(on, code, at);
             }
@@ -95,17 +96,17 @@
     }
 
     /** An exception in the decisions ends that instance and is told, never swallowed. */
-    private void guarded(int on, int code, int at) throws Malformed {
+    private void guarded(int on, int code, int at) throws MalformedFrameException {
         try {
             event(on, code, at);
         } catch (RuntimeException e) {
             instances.remove(on);
             StackTraceElement[] trace = e.getStackTrace();
-            reply.die(on, e + (trace.length > 0 ? " at " + trace[0] : ""));
+            reply.addDie(on, e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
-    private void event(int on, int code, int at) throws Malformed {
+    private void event(int on, int code, int at) throws MalformedFrameException {
         if (code == UP) {
             instances.remove(on);
             SettingsParser parser = new SettingsParser(text(at + 9));
@@ -183,7 +184,7 @@
         return place >= 0 && place < (frame.get(at) & 0xff) ? frame.getFloat(at + 1 + 4 * place) : Double.NaN;
     }
 
-    private void announce(Instance to, int at) throws Malformed {
+    private void announce(Instance to, int at) throws MalformedFrameException {
         ListKind kind =
                 switch (frame.get(at + 1)) {
                     case 1 -> ListKind.WHOLE;
@@ -195,13 +196,13 @@
         if (kind != ListKind.FAILED) {
             entries = sheets.get(frame.getInt(at + 10));
             if (entries == null) {
-                throw new Malformed("a list that was never defined", frameAt + 8 + at + 10);
+                throw new MalformedFrameException("a list that was never defined", frameAt + 8 + at + 10);
             }
         }
         to.dispatcher.workers(now, kind, entries);
     }
 
-    private List<Worker> entries(int field) throws Malformed {
+    private List<Worker> entries(int field) throws MalformedFrameException {
         int count = frame.getInt(field + 4);
         int at = tail(field, (long) count * ENTRY);
         List<Worker> entries = new ArrayList<>(count);
@@ -227,21 +228,21 @@
         return (frame.getInt(at) & 0xffffffffL) | (frame.getShort(at + 4) & 0xffffL) << 32;
     }
 
-    private byte[] bytes(int field) throws Malformed {
+    private byte[] bytes(int field) throws MalformedFrameException {
         int at = tail(field, frame.getInt(field + 4));
         return Arrays.copyOfRange(frame.array(), at, at + frame.getInt(field + 4));
     }
 
-    private String text(int field) throws Malformed {
+    private String text(int field) throws MalformedFrameException {
         int length = frame.getInt(field + 4);
         return new String(frame.array(), tail(field, length), length, StandardCharsets.UTF_8);
     }
 
     /** The place of what a field points at in the tail. */
-    private int tail(int field, long length) throws Malformed {
+    private int tail(int field, long length) throws MalformedFrameException {
         long at = tailAt + (frame.getInt(field) & 0xffffffffL);
         if (length < 0 || at + length > frame.capacity()) {
-            throw new Malformed("a field that points beyond the frame", frameAt + 8 + field);
+            throw new MalformedFrameException("a field that points beyond the frame", frameAt + 8 + field);
         }
         return (int) at;
     }
--- a/src/main/java/barrowflow/adapter/Main.java
+++ b/src/main/java/barrowflow/adapter/AdapterMain.java
@@ -6,8 +6,8 @@
 import java.io.IOException;
 
 /** The command line: {@code java -jar barrowflow.jar adapter}. */
-public final class Main {
-    private Main() {}
+public final class AdapterMain {
+    private AdapterMain() {}
 
     /** Exit status 0 at the end of input, 1 on a malformed frame, 2 on a wrong command line. */
     public static void main(String[] args) throws IOException {
@@ -17,7 +17,7 @@
         }
         try (var out = new FileOutputStream(FileDescriptor.out)) {
             new Adapter().run(new BufferedInputStream(System.in, 1 << 16), out);
-        } catch (Malformed e) {
+        } catch (MalformedFrameException e) {
             System.err.println("barrowflow: " + e.getMessage());
             System.exit(1);
         }
--- a/src/main/java/barrowflow/adapter/Instance.java
+++ b/src/main/java/barrowflow/adapter/Instance.java
@@ -7,17 +7,17 @@
 /** One dispatcher on the wire: its actions become records of the reply. */
 final class Instance implements Dispatcher.Actions {
     private final int number;
-    private final Reply reply;
+    private final ReplyWriter reply;
     final int freeSlots;
     final int freeMemory;
     final boolean tenants;
     final Dispatcher dispatcher;
 
-    Instance(int number, Reply reply, SettingsParser parser, long seed, long now) {
+    Instance(int number, ReplyWriter reply, SettingsParser parser, long seed, long now) {
         this.number = number;
         this.reply = reply;
-        freeSlots = parser.reportPlace("free_slots");
-        freeMemory = parser.reportPlace("free_memory");
+        freeSlots = parser.reportIndex("free_slots");
+        freeMemory = parser.reportIndex("free_memory");
         Settings settings = parser.settings();
         tenants = !settings.tenants().isEmpty();
         dispatcher = new Choice(settings, seed, now, this);
@@ -25,48 +25,51 @@
 
     @Override
     public void send(long request, long worker) {
-        int at = reply.record(number, Reply.PASS_ON);
-        reply.fields().putLong(at + 1, request).putInt(at + 9, (int) worker).putShort(at + 13, (short) (worker >>> 32));
+        int at = reply.addRecord(number, ReplyWriter.PASS_ON);
+        reply.buffer().putLong(at + 1, request).putInt(at + 9, (int) worker).putShort(at + 13, (short) (worker >>> 32));
     }
 
     @Override
     public void cancel(long request, int attempt) {
-        int at = reply.record(number, Reply.ABORT_ATTEMPT);
-        reply.fields().putLong(at + 1, request).put(at + 9, (byte) attempt);
+        int at = reply.addRecord(number, ReplyWriter.ABORT_ATTEMPT);
+        reply.buffer().putLong(at + 1, request).put(at + 9, (byte) attempt);
     }
 
     @Override
     public void refuse(long request, long wait) {
-        int at = reply.record(number, Reply.TURN_AWAY);
-        reply.fields().putLong(at + 1, request).putInt(at + 9, (int) wait);
+        int at = reply.addRecord(number, ReplyWriter.TURN_AWAY);
+        reply.buffer().putLong(at + 1, request).putInt(at + 9, (int) wait);
     }
 
     @Override
     public void fail(long request) {
-        reply.fields().putLong(reply.record(number, Reply.FINISH_ERROR) + 1, request);
+        reply.buffer().putLong(reply.addRecord(number, ReplyWriter.FINISH_ERROR) + 1, request);
     }
 
     @Override
     public void timerAt(long time) {
-        int at = reply.record(number, Reply.TIMER);
-        reply.fields().putLong(at + 1, time).putLong(at + 9, time);
+        int at = reply.addRecord(number, ReplyWriter.TIMER);
+        reply.buffer().putLong(at + 1, time).putLong(at + 9, time);
     }
 
     @Override
     public void watchList() {
-        reply.fields().put(reply.record(number, Reply.KEEP_INFORMED) + 1, (byte) 1);
+        reply.buffer().put(reply.addRecord(number, ReplyWriter.KEEP_INFORMED) + 1, (byte) 1);
     }
 
     @Override
     public void tell(byte[] message) {
-        int at = reply.record(number, Reply.WRITE_PEER);
-        int from = reply.tail(message);
-        reply.fields().putShort(at + 1, Reply.ALL_PEERS).putInt(at + 3, from).putInt(at + 7, message.length);
+        int at = reply.addRecord(number, ReplyWriter.WRITE_PEER);
+        int from = reply.appendTail(message);
+        reply.buffer()
+                .putShort(at + 1, ReplyWriter.ALL_PEERS)
+                .putInt(at + 3, from)
+                .putInt(at + 7, message.length);
     }
 
     @Override
     public void probe(long worker) {
-        int at = reply.record(number, Reply.ASK_LOAD);
-        reply.fields().putInt(at + 1, (int) worker).putShort(at + 5, (short) (worker >>> 32));
+        int at = reply.addRecord(number, ReplyWriter.ASK_LOAD);
+        reply.buffer().putInt(at + 1, (int) worker).putShort(at + 5, (short) (worker >>> 32));
     }
 }
--- a/src/main/java/barrowflow/adapter/Malformed.java
+++ b/src/main/java/barrowflow/adapter/MalformedFrameException.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /** A frame that can't be read: what is wrong, and at which byte of the input. */
-final class Malformed extends IOException {
+final class MalformedFrameException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    Malformed(String what, long at) {
+    MalformedFrameException(String what, long at) {
         super("malformed frame: " + what + " at byte " + at);
     }
 }
--- a/src/main/java/barrowflow/adapter/Reply.java
+++ b/src/main/java/barrowflow/adapter/ReplyWriter.java
@@ -8,7 +8,7 @@
 import java.util.Arrays;
 
 /** The reply to one batch, written record by record. */
-final class Reply {
+final class ReplyWriter {
     static final int HEADER = 12;
     static final int RECORD = 24;
     static final int DIE = 20;
@@ -28,7 +28,7 @@
     private int number;
     private int named;
 
-    void begin(int batch) {
+    void beginBatch(int batch) {
         number = batch;
         named = -1;
         tail = new byte[0];
@@ -36,7 +36,7 @@
     }
 
     /** Starts a record of an instance; its fields go at offsets from the place returned. */
-    int record(int instance, int code) {
+    int addRecord(int instance, int code) {
         if (instance != named) {
             named = instance;
             records.putShort(append(INSTANCE) + 1, (short) instance);
@@ -55,18 +55,18 @@
         return at;
     }
 
-    ByteBuffer fields() {
+    ByteBuffer buffer() {
         return records;
     }
 
-    void die(int instance, String what) {
+    void addDie(int instance, String what) {
         byte[] text = what.getBytes(StandardCharsets.UTF_8);
-        int at = record(instance, DIE);
-        records.putInt(at + 1, tail(text)).putInt(at + 5, text.length);
+        int at = addRecord(instance, DIE);
+        records.putInt(at + 1, appendTail(text)).putInt(at + 5, text.length);
     }
 
     /** Adds to the tail; gives the offset of what was added. */
-    int tail(byte[] bytes) {
+    int appendTail(byte[] bytes) {
         int before = tail.length;
         tail = Arrays.copyOf(tail, before + bytes.length);
         System.arraycopy(bytes, 0, tail, before, bytes.length);
--- a/src/main/java/barrowflow/adapter/SettingsParser.java
+++ b/src/main/java/barrowflow/adapter/SettingsParser.java
@@ -71,7 +71,7 @@
                         flag("caps.probes"),
                         number("prices.probe", 0.0),
                         // Danger: where reports tell no free slots, probes would be paid for good and teach nothing.
-                        word("report.how", "silent").equals("pull") && reportPlace("free_slots") >= 0));
+                        word("report.how", "silent").equals("pull") && reportIndex("free_slots") >= 0));
     }
 
     private JobClass jobClass(int c) {
@@ -115,7 +115,7 @@
     }
 
     /** The place of free slots ({@code free_slots}) or memory among the values of a load report, or -1. */
-    public int reportPlace(String meaning) {
+    public int reportIndex(String meaning) {
         String[] names = word("report.names", "").split(",");
         for (int i = 0; i < names.length; i++) {
             if (word("domain.report_" + names[i], "").equals(meaning)) {
@@ -131,7 +131,7 @@
     }
 
     private double number(String path, Double otherwise) {
-        String value = text(path);
+        String value = rawValue(path);
         return value == null && otherwise != null ? otherwise : parse(path, word(path, null));
     }
 
@@ -143,7 +143,7 @@
      * What was told and nobody asked for, in alphabetical order: what the deployment says that is not used.
      * Items of lists stand together, under {@code *} for their numbers.
      */
-    public List<String> unused() {
+    public List<String> unusedPaths() {
         return values.keySet().stream()
                 .filter(path -> !read.contains(path))
                 .map(path -> path.replaceAll("\\.\\d+(?=\\.|$)", ".*"))
@@ -153,7 +153,7 @@
     }
 
     /** A setting's text, or null; from here on it counts as used. */
-    public String text(String path) {
+    public String rawValue(String path) {
         read.add(path);
         return values.get(path);
     }
--- a/src/main/java/barrowflow/gossip/Gossip.java
+++ b/src/main/java/barrowflow/gossip/Gossip.java
@@ -20,7 +20,7 @@
  */
 public final class Gossip {
     /** A message holds so many bytes at most. */
-    public static final int MOST = 256;
+    public static final int MAX_MESSAGE_BYTES = 256;
 
     private static final byte VERSION = 1;
     private static final int HEAD = 11;
@@ -87,11 +87,11 @@
      * @param jobsPerSecond that come to this dispatcher
      * @param run of the mean job, microseconds
      */
-    public boolean due(long now, double jobsPerSecond, double run) {
+    public boolean isMessageDue(long now, double jobsPerSecond, double run) {
         if (dispatchers < 2 || now < nextAt) {
             return false;
         }
-        double cost = (dispatchers - 1) * (double) bytes / MOST * price;
+        double cost = (dispatchers - 1) * (double) bytes / MAX_MESSAGE_BYTES * price;
         double borne = 1e6 * cost / SPEND / Math.max(1e-3, jobsPerSecond);
         double pause = Math.max(SOONEST, Math.max(run / IN_A_JOB, borne));
         nextAt = now + (long) Math.min(pause, SILENT);
@@ -105,7 +105,7 @@
      * @param taken slots taken at each of them
      * @param perSecond each tenant's jobs a second here
      */
-    public byte[] message(long[] names, double[] taken, double[] perSecond) {
+    public byte[] nextMessage(long[] names, double[] taken, double[] perSecond) {
         Integer[] busiest = new Integer[perSecond.length];
         Arrays.setAll(busiest, i -> i);
         Arrays.sort(busiest, (a, b) -> Double.compare(perSecond[b], perSecond[a]));
@@ -113,7 +113,7 @@
         while (tenants < Math.min(TENANTS, busiest.length) && perSecond[busiest[tenants]] > 0) {
             tenants++;
         }
-        int room = (MOST - HEAD - ITEM * tenants) / ITEM;
+        int room = (MAX_MESSAGE_BYTES - HEAD - ITEM * tenants) / ITEM;
         int workers = Math.min(room, names.length);
         bytes = HEAD + ITEM * (tenants + workers);
         ByteBuffer out = ByteBuffer.allocate(bytes).order(ByteOrder.LITTLE_ENDIAN);
@@ -134,11 +134,11 @@
     }
 
     /** Takes in a message; what can't be one, or is of another version, is counted and left. */
-    public void heard(long now, int from, byte[] message) {
+    public void receive(long now, int from, byte[] message) {
         if (from < 0
                 || from >= dispatchers
                 || message.length < HEAD
-                || message.length > MOST
+                || message.length > MAX_MESSAGE_BYTES
                 || message[0] != VERSION
                 || (message.length - HEAD) % ITEM != 0
                 || message[HEAD - 1] < 0
@@ -230,7 +230,7 @@
     }
 
     /** Forgets those that have been silent for too long. */
-    public void expire(long now) {
+    public void expireSilentPeers(long now) {
         peers.values().removeIf(peer -> {
             boolean silent = now - peer.at > SILENT;
             if (silent) {
@@ -242,22 +242,22 @@
     }
 
     /** How many others are heard at present, a dispatcher's two lives counted as two. */
-    public int others() {
+    public int peerCount() {
         return peers.size();
     }
 
     /** Slots that the others' jobs take at a worker, as far as is heard. */
-    public double taken(long name) {
+    public double slotsTakenByPeers(long name) {
         return slots.getOrDefault(tag(name), 0);
     }
 
     /** The others' jobs a second of a tenant, as far as is heard. */
-    public double perSecond(int tenant) {
+    public double peerJobsPerSecond(int tenant) {
         return rates.getOrDefault(tenant, 0) / RATE_UNIT;
     }
 
     /** Messages that were none of this build's. */
-    public long malformed() {
+    public long malformedMessages() {
         return malformed;
     }
 
--- a/src/main/java/barrowflow/probing/Prober.java
+++ b/src/main/java/barrowflow/probing/ProbeRateLimiter.java
@@ -8,7 +8,7 @@
  * <p>Danger: tokens that are saved up while nothing could be asked would come out as a burst at workers that
  * have just returned; no more than two are kept.
  */
-public final class Prober {
+public final class ProbeRateLimiter {
     /** So much of the result is spent on probes at most. */
     private static final double SPEND = 0.003;
     /** All dispatchers together ask a worker no more often than this a second. */
@@ -22,21 +22,21 @@
     private long last = Long.MIN_VALUE;
 
     /** @param price of one probe for each job, in parts of the result */
-    public Prober(int dispatchers, double price) {
+    public ProbeRateLimiter(int dispatchers, double price) {
         this.dispatchers = dispatchers;
         this.price = price;
     }
 
     /** Probes a second that this dispatcher may send. */
-    public double perSecond(int workers, double jobsPerSecond) {
+    public double allowedProbesPerSecond(int workers, double jobsPerSecond) {
         double borne = A_WORKER * workers / dispatchers;
         return price <= 0 ? borne : Math.min(borne, SPEND / price * jobsPerSecond);
     }
 
     /** How many workers to ask now; what is not asked stays saved. */
-    public int due(long now, int workers, double jobsPerSecond) {
+    public int takeDueProbes(long now, int workers, double jobsPerSecond) {
         if (last != Long.MIN_VALUE) {
-            tokens = Math.min(MOST_SAVED, tokens + (now - last) / 1e6 * perSecond(workers, jobsPerSecond));
+            tokens = Math.min(MOST_SAVED, tokens + (now - last) / 1e6 * allowedProbesPerSecond(workers, jobsPerSecond));
         }
         last = now;
         int due = (int) tokens;
--- a/src/main/java/gorserill/program/Main.java
+++ b/src/main/java/gorserill/program/Main.java
@@ -45,7 +45,7 @@
     }
 
     private static int adapter() throws IOException {
-        barrowflow.adapter.Main.main(new String[] {"adapter"});
+        barrowflow.adapter.AdapterMain.main(new String[] {"adapter"});
         return 0;
     }
 
--- a/src/main/java/gorserill/program/NodeConfig.java
+++ b/src/main/java/gorserill/program/NodeConfig.java
@@ -114,7 +114,7 @@
         tenantNames = new ArrayList<>();
         for (int t = 0; t < settings.tenants().size(); t++) {
             String path = "tenants." + t + ".name";
-            if (parser.text(path) == null) {
+            if (parser.rawValue(path) == null) {
                 throw new ConfigException("settings." + path, "is missing");
             }
             tenantNames.add(values.get(path));
@@ -122,20 +122,20 @@
         classNames = new ArrayList<>();
         for (int c = 0; c < settings.classes().size(); c++) {
             String path = "request_classes." + c + ".name";
-            if (parser.text(path) == null) {
+            if (parser.rawValue(path) == null) {
                 throw new ConfigException("settings." + path, "is missing");
             }
             classNames.add(values.get(path));
         }
-        zones = names(parser.text("areas"));
-        kinds = names(parser.text("shapes"));
+        zones = names(parser.rawValue("areas"));
+        kinds = names(parser.rawValue("shapes"));
         reports = new LoadNames(reportName(parser, "free_slots"), reportName(parser, "free_memory"));
         connectTimeout = (long) number(values, "caps.connect_timeout_us", 250_000);
         connectionIdle = (long) number(values, "caps.conn_idle_us", 15_000_000);
         drainGrace = (long) number(values, "obligations.drain_grace_us", 500_000);
         List.of("caps.connect_timeout_us", "caps.conn_idle_us", "obligations.drain_grace_us", "me")
-                .forEach(parser::text);
-        unused = parser.unused();
+                .forEach(parser::rawValue);
+        unused = parser.unusedPaths();
         faktory = FaktoryConfig.read(
                 Path.of(environment.getOrDefault("GORSERILL_FAKTORY", "deploy/faktory.json")),
                 classNames,
@@ -309,7 +309,7 @@
     }
 
     private String reportName(SettingsParser parser, String meaning) {
-        int place = parser.reportPlace(meaning);
+        int place = parser.reportIndex(meaning);
         return place < 0 ? null : values.get("report.names").split(",")[place];
     }
 
--- a/src/test/java/barrowflow/SharesTest.java
+++ b/src/test/java/barrowflow/SharesTest.java
@@ -32,10 +32,11 @@
                 }
                 if (told) {
                     byte[] message = gossip.get(n)
-                            .message(new long[0], new double[0], shares.get(n).perSecond());
+                            .nextMessage(
+                                    new long[0], new double[0], shares.get(n).perSecond());
                     for (int other = 0; other < nodes; other++) {
                         if (other != n) {
-                            gossip.get(other).heard(now, n, message);
+                            gossip.get(other).receive(now, n, message);
                         }
                     }
                 }
@@ -67,7 +68,7 @@
     @Test
     void oneThatHasJustBegunCountsItsPartAsEven() {
         Gossip others = new Gossip(2, 0, 1);
-        others.heard(0, 1, new Gossip(2, 0, 2).message(new long[0], new double[0], new double[] {10}));
+        others.receive(0, 1, new Gossip(2, 0, 2).nextMessage(new long[0], new double[0], new double[] {10}));
         Shares shares = new Shares(List.of(new Tenant(RATE)), 2);
         int within = 0;
         for (int i = 0; i < 10; i++) {
--- a/src/test/java/barrowflow/adapter/AdapterTest.java
+++ b/src/test/java/barrowflow/adapter/AdapterTest.java
@@ -142,7 +142,7 @@
         byte[] second = timer.frame(2, 1_100_000);
         ByteBuffer reply = run(first, second);
         int at = 12 + reply.getInt(8);
-        List<Integer> told = records(reply, at, Reply.WRITE_PEER);
+        List<Integer> told = records(reply, at, ReplyWriter.WRITE_PEER);
         assertEquals(1, told.size());
         assertEquals(-1, reply.getShort(told.get(0) + 1), "to all");
         int length = reply.getInt(told.get(0) + 7);
@@ -150,12 +150,12 @@
         byte[] message = new byte[length];
         reply.get(tail, message);
         assertTrue(length > 0 && length <= 256 && message[0] == 1);
-        int probe = records(reply, at, Reply.ASK_LOAD).get(0);
+        int probe = records(reply, at, ReplyWriter.ASK_LOAD).get(0);
         assertEquals(0x0a124a07, reply.getInt(probe + 1));
 
         String untold = settings.replace("domain.report_x0=free_slots", "domain.report_x0=something");
         ByteBuffer none = run(new Batch().on(5).up(untold).oneWorker().knock(1).frame(1, 1_000_000), second);
-        assertEquals(List.of(), records(none, 12 + none.getInt(8), Reply.ASK_LOAD), "nothing to learn");
+        assertEquals(List.of(), records(none, 12 + none.getInt(8), ReplyWriter.ASK_LOAD), "nothing to learn");
 
         Batch third = new Batch().on(5);
         third.record(110)
@@ -172,15 +172,15 @@
         assertTrue(last > 0);
         int next = at + 12 + reply.getInt(at + 8);
         int fourth = next + 12 + quiet.getInt(next + 8);
-        assertEquals(List.of(), records(quiet, fourth, Reply.ASK_LOAD), "nobody is asked while one is heard");
+        assertEquals(List.of(), records(quiet, fourth, ReplyWriter.ASK_LOAD), "nobody is asked while one is heard");
     }
 
     @Test
     void aDayOfOneRequest() throws IOException {
         byte[] start = new Batch().on(5).up(SETTINGS).oneWorker().frame(1, 1_000_000);
         ByteBuffer first = run(start);
-        assertEquals(1, records(first, 0, Reply.KEEP_INFORMED).size());
-        int timer = records(first, 0, Reply.TIMER).get(0);
+        assertEquals(1, records(first, 0, ReplyWriter.KEEP_INFORMED).size());
+        int timer = records(first, 0, ReplyWriter.TIMER).get(0);
         long due = first.getLong(timer + 1);
         assertTrue(due > 1_000_000 && due <= 1_050_001);
         Batch ask = new Batch().on(5).knock(1L << 40);
@@ -190,17 +190,17 @@
         int second = 12 + first.getInt(8);
         assertEquals(0, all.getInt(second + 4), "held");
         int third = second + 12;
-        int sent = records(all, third, Reply.PASS_ON).get(0);
+        int sent = records(all, third, ReplyWriter.PASS_ON).get(0);
         assertEquals(1L << 40, all.getLong(sent + 1));
         assertEquals(0x0a124a07, all.getInt(sent + 9));
         assertEquals(0x232b, all.getShort(sent + 13));
-        assertEquals(5, all.getShort(records(all, third, Reply.INSTANCE).get(0) + 1));
+        assertEquals(5, all.getShort(records(all, third, ReplyWriter.INSTANCE).get(0) + 1));
 
         Batch settled = new Batch().on(5);
         settled.record(30).putLong(1, 1L << 40).putShort(16, (short) 110);
         ByteBuffer end = run(start, ask.frame(2, due), ring.frame(3, due), settled.frame(4, due + 4_999_999));
         int fourth = third + 12 + all.getInt(third + 8);
-        assertEquals(1, records(end, fourth, Reply.FINISH_ERROR).size(), "it may have run, so it fails");
+        assertEquals(1, records(end, fourth, ReplyWriter.FINISH_ERROR).size(), "it may have run, so it fails");
     }
 
     @Test
@@ -217,7 +217,8 @@
                 new Batch().on(5).up(SETTINGS).oneWorker().knock(1).frame(3, 9_000_000));
         assertEquals(
                 1,
-                records(again, 12 + again.getInt(8) + 12, Reply.KEEP_INFORMED).size());
+                records(again, 12 + again.getInt(8) + 12, ReplyWriter.KEEP_INFORMED)
+                        .size());
     }
 
     @Test
@@ -226,7 +227,7 @@
         odd.record(222);
         odd.record(10);
         ByteBuffer reply = run(odd.frame(1, 1));
-        assertEquals(0, records(reply, 0, Reply.DIE).size());
+        assertEquals(0, records(reply, 0, ReplyWriter.DIE).size());
     }
 
     @ParameterizedTest
@@ -235,7 +236,7 @@
         for (String with : new String[] {"", setting + "=?\n"}) {
             String text = SETTINGS.replaceAll(setting.replace(".", "\\.") + "=.*\n", with);
             ByteBuffer reply = run(new Batch().on(5).up(text).frame(1, 1));
-            int die = records(reply, 0, Reply.DIE).get(0);
+            int die = records(reply, 0, ReplyWriter.DIE).get(0);
             int tail = 12 + 24 * reply.getInt(4);
             String what = new String(
                     reply.array(), tail + reply.getInt(die + 1), reply.getInt(die + 5), StandardCharsets.UTF_8);
@@ -249,8 +250,8 @@
         batch.record(60).putLong(1, 9).putShort(9, (short) 77);
         batch.on(2).oneWorker().knock(3);
         ByteBuffer reply = run(batch.frame(1, 1));
-        assertEquals(1, records(reply, 0, Reply.DIE).size());
-        assertEquals(2, records(reply, 0, Reply.TIMER).size());
+        assertEquals(1, records(reply, 0, ReplyWriter.DIE).size());
+        assertEquals(2, records(reply, 0, ReplyWriter.TIMER).size());
     }
 
     @Test
@@ -258,23 +259,29 @@
         byte[] good = new Batch().on(5).up(SETTINGS).frame(1, 1);
         assertEquals(
                 "malformed frame: input ends within a header at byte 5",
-                assertThrows(Malformed.class, () -> run(java.util.Arrays.copyOf(good, 5)))
+                assertThrows(MalformedFrameException.class, () -> run(java.util.Arrays.copyOf(good, 5)))
                         .getMessage());
         assertEquals(
                 "malformed frame: input ends within a frame at byte 40",
-                assertThrows(Malformed.class, () -> run(java.util.Arrays.copyOf(good, 40)))
+                assertThrows(MalformedFrameException.class, () -> run(java.util.Arrays.copyOf(good, 40)))
                         .getMessage());
         byte[] length = good.clone();
         length[7] = (byte) 0xff;
-        assertTrue(assertThrows(Malformed.class, () -> run(length)).getMessage().contains("at byte 4"));
+        assertTrue(assertThrows(MalformedFrameException.class, () -> run(length))
+                .getMessage()
+                .contains("at byte 4"));
         byte[] count = good.clone();
         count[9] = 7;
-        assertTrue(assertThrows(Malformed.class, () -> run(count)).getMessage().contains("at byte 8"));
+        assertTrue(assertThrows(MalformedFrameException.class, () -> run(count))
+                .getMessage()
+                .contains("at byte 8"));
         byte[] tail = good.clone();
         tail[20 + 48 + 13 + 2] = 1;
-        assertTrue(assertThrows(Malformed.class, () -> run(tail)).getMessage().contains("beyond the frame"));
+        assertTrue(assertThrows(MalformedFrameException.class, () -> run(tail))
+                .getMessage()
+                .contains("beyond the frame"));
         Batch noInstance = new Batch().knock(1);
-        assertTrue(assertThrows(Malformed.class, () -> run(good, noInstance.frame(2, 2)))
+        assertTrue(assertThrows(MalformedFrameException.class, () -> run(good, noInstance.frame(2, 2)))
                 .getMessage()
                 .endsWith("at byte " + (good.length + 20)));
     }
@@ -308,7 +315,7 @@
         int at = 0;
         int sends = 0;
         for (int reply = 1; reply <= 7; reply++) {
-            sends += records(all, at, Reply.PASS_ON).size();
+            sends += records(all, at, ReplyWriter.PASS_ON).size();
             assertEquals(reply < 3 ? 0 : 1, sends, "the second waits: the worker reported no free slot");
             at += 12 + all.getInt(at + 8);
         }
--- a/src/test/java/barrowflow/gossip/GossipTest.java
+++ b/src/test/java/barrowflow/gossip/GossipTest.java
@@ -17,7 +17,7 @@
     private final Gossip listener = new Gossip(3, 0.01, 1);
 
     private static byte[] told(Gossip by, double... taken) {
-        return by.message(Arrays.copyOf(NAMES, taken.length), taken, new double[] {4, 0.5});
+        return by.nextMessage(Arrays.copyOf(NAMES, taken.length), taken, new double[] {4, 0.5});
     }
 
     @Test
@@ -26,13 +26,13 @@
         byte[] first = told(speaker, 1, 2, 3);
         told(speaker, 9, 9, 9);
         byte[] third = told(speaker, 5);
-        listener.heard(10, 1, first);
-        assertEquals(3, listener.taken(33));
-        listener.heard(20, 1, third);
-        assertEquals(5, listener.taken(11));
-        assertEquals(0, listener.taken(22), "it has nothing there any more");
-        assertEquals(4, listener.perSecond(0));
-        assertEquals(0.5, listener.perSecond(1));
+        listener.receive(10, 1, first);
+        assertEquals(3, listener.slotsTakenByPeers(33));
+        listener.receive(20, 1, third);
+        assertEquals(5, listener.slotsTakenByPeers(11));
+        assertEquals(0, listener.slotsTakenByPeers(22), "it has nothing there any more");
+        assertEquals(4, listener.peerJobsPerSecond(0));
+        assertEquals(0.5, listener.peerJobsPerSecond(1));
     }
 
     @Test
@@ -40,35 +40,35 @@
         Gossip speaker = new Gossip(3, 0.01, 2);
         byte[] first = told(speaker, 1);
         byte[] second = told(speaker, 2);
-        listener.heard(10, 1, second);
-        listener.heard(20, 1, first);
-        listener.heard(30, 1, second);
-        assertEquals(2, listener.taken(11));
-        assertEquals(4, listener.perSecond(0));
+        listener.receive(10, 1, second);
+        listener.receive(20, 1, first);
+        listener.receive(30, 1, second);
+        assertEquals(2, listener.slotsTakenByPeers(11));
+        assertEquals(4, listener.peerJobsPerSecond(0));
     }
 
     @Test
     void aRestartedSpeakerIsHeardAndAnOldLifeCountsUntilItIsSilent() {
-        listener.heard(10, 1, told(new Gossip(3, 0.01, 2), 1));
-        listener.heard(20, 1, told(new Gossip(3, 0.01, 3), 4));
-        assertEquals(5, listener.taken(11), "the old process may still have jobs out");
-        listener.expire(3_000_015);
-        assertEquals(4, listener.taken(11));
-        listener.expire(9_000_000);
-        assertEquals(0, listener.taken(11));
-        assertEquals(0, listener.others());
-        assertEquals(0, listener.perSecond(0));
+        listener.receive(10, 1, told(new Gossip(3, 0.01, 2), 1));
+        listener.receive(20, 1, told(new Gossip(3, 0.01, 3), 4));
+        assertEquals(5, listener.slotsTakenByPeers(11), "the old process may still have jobs out");
+        listener.expireSilentPeers(3_000_015);
+        assertEquals(4, listener.slotsTakenByPeers(11));
+        listener.expireSilentPeers(9_000_000);
+        assertEquals(0, listener.slotsTakenByPeers(11));
+        assertEquals(0, listener.peerCount());
+        assertEquals(0, listener.peerJobsPerSecond(0));
     }
 
     /** Danger: under ever new lives one sender could fill the memory, and count as many. */
     @Test
     void ofOneSenderTwoLivesAreKept() {
         for (int life = 10; life < 1_000; life++) {
-            listener.heard(life, 1, told(new Gossip(3, 0.01, life), 1));
+            listener.receive(life, 1, told(new Gossip(3, 0.01, life), 1));
         }
-        assertEquals(2, listener.others());
-        assertEquals(2, listener.taken(11));
-        assertEquals(8, listener.perSecond(0));
+        assertEquals(2, listener.peerCount());
+        assertEquals(2, listener.slotsTakenByPeers(11));
+        assertEquals(8, listener.peerJobsPerSecond(0));
     }
 
     @Test
@@ -81,12 +81,12 @@
         byte[] cut = Arrays.copyOf(sound, sound.length - 1);
         byte[][] bad = {otherBuild, tooManyTenants, cut, {}, new byte[257], Arrays.copyOf(sound, 10)};
         for (byte[] message : bad) {
-            listener.heard(10, 1, message);
+            listener.receive(10, 1, message);
         }
-        listener.heard(10, 3, sound);
-        listener.heard(10, -1, sound);
-        assertEquals(bad.length + 2, listener.malformed());
-        assertEquals(0, listener.others());
+        listener.receive(10, 3, sound);
+        listener.receive(10, -1, sound);
+        assertEquals(bad.length + 2, listener.malformedMessages());
+        assertEquals(0, listener.peerCount());
     }
 
     /** Whatever the bytes are, sums stay those of what is kept: all goes when the senders are silent. */
@@ -100,14 +100,14 @@
             for (int flips = random.nextInt(6); flips > 0 && message.length > 0; flips--) {
                 message[random.nextInt(message.length)] = (byte) random.nextInt();
             }
-            listener.heard(i, random.nextInt(5) - 1, message);
+            listener.receive(i, random.nextInt(5) - 1, message);
             for (long name : NAMES) {
-                assertTrue(listener.taken(name) >= 0 && listener.perSecond(0) >= 0);
+                assertTrue(listener.slotsTakenByPeers(name) >= 0 && listener.peerJobsPerSecond(0) >= 0);
             }
         }
-        assertTrue(listener.others() <= 6);
-        listener.expire(100_000_000);
-        assertEquals(0, listener.taken(11) + listener.perSecond(0) + listener.others());
+        assertTrue(listener.peerCount() <= 6);
+        listener.expireSilentPeers(100_000_000);
+        assertEquals(0, listener.slotsTakenByPeers(11) + listener.peerJobsPerSecond(0) + listener.peerCount());
     }
 
     /** Of more workers than a message names each is told in turn. */
@@ -120,24 +120,24 @@
         double[] tenants = new double[100_000];
         Arrays.fill(tenants, 1);
         for (int i = 0; i < 5; i++) {
-            byte[] message = speaker.message(names, taken, tenants);
-            assertTrue(message.length <= Gossip.MOST, message.length + " bytes");
-            listener.heard(i, 1, message);
+            byte[] message = speaker.nextMessage(names, taken, tenants);
+            assertTrue(message.length <= Gossip.MAX_MESSAGE_BYTES, message.length + " bytes");
+            listener.receive(i, 1, message);
         }
         for (long name : names) {
-            assertEquals(7, listener.taken(name), "worker " + name);
+            assertEquals(7, listener.slotsTakenByPeers(name), "worker " + name);
         }
         long[] others = LongStream.range(201, 401).toArray();
         for (int i = 1; i <= 20; i++) {
-            listener.heard(i * 200_000, 1, speaker.message(others, taken, tenants));
+            listener.receive(i * 200_000, 1, speaker.nextMessage(others, taken, tenants));
         }
-        assertEquals(0, listener.taken(1), "it has nothing there any more, though no message says so");
-        assertEquals(7, listener.taken(201));
+        assertEquals(0, listener.slotsTakenByPeers(1), "it has nothing there any more, though no message says so");
+        assertEquals(7, listener.slotsTakenByPeers(201));
     }
 
     @Test
     void itTellsAsOftenAsItsPriceBearsAndNotAtAllWhereThatIsTooSeldom() {
-        assertFalse(new Gossip(1, 0, 1).due(0, 10, 1e6), "nobody to tell");
+        assertFalse(new Gossip(1, 0, 1).isMessageDue(0, 10, 1e6), "nobody to tell");
         double cheap = messages(new Gossip(3, 0.001, 1));
         double dear = messages(new Gossip(3, 0.02, 1));
         assertTrue(cheap > 2 * dear && dear > 1, cheap + " and " + dear + " in ten seconds");
@@ -149,8 +149,8 @@
     private static double messages(Gossip speaker) {
         int sent = 0;
         for (long now = 0; now < 10_000_000; now += 10_000) {
-            if (speaker.due(now, 20, 400_000)) {
-                speaker.message(new long[10], new double[10], new double[] {1, 1, 1, 1, 1, 1, 1, 1});
+            if (speaker.isMessageDue(now, 20, 400_000)) {
+                speaker.nextMessage(new long[10], new double[10], new double[] {1, 1, 1, 1, 1, 1, 1, 1});
                 sent++;
             }
         }
--- a/src/test/java/gorserill/measure/WireCapacity.java
+++ b/src/test/java/gorserill/measure/WireCapacity.java
@@ -105,26 +105,26 @@
             Gossip teller = new Gossip(nodes, 0, 1);
             Gossip hearer = new Gossip(nodes, 0, 2);
             int[] bytes = {0};
-            Spread making = cost(rounds, () -> bytes[0] = teller.message(names, taken, rates).length);
+            Spread making = cost(rounds, () -> bytes[0] = teller.nextMessage(names, taken, rates).length);
             int named = (bytes[0] - 11 - 4 * 16) / 4;
             int turns = (names.length + named - 1) / named;
             List<byte[]> messages = new ArrayList<>();
             for (int i = 0; i < turns; i++) {
-                messages.add(teller.message(names, taken, rates));
+                messages.add(teller.nextMessage(names, taken, rates));
             }
             long[] now = {0};
             int[] next = {0};
             // As many as name all, within the 3 s that a word counts; then the same again.
             for (byte[] message : messages) {
-                hearer.heard(++now[0], 1, message);
+                hearer.receive(++now[0], 1, message);
             }
             int kept = 0;
             for (long name : names) {
-                kept += hearer.taken(name) > 0 ? 1 : 0;
+                kept += hearer.slotsTakenByPeers(name) > 0 ? 1 : 0;
             }
             next[0] = 1_000_000;
             Spread taking =
-                    cost(rounds, () -> hearer.heard(++now[0], 1, numbered(messages.get(next[0] % turns), ++next[0])));
+                    cost(rounds, () -> hearer.receive(++now[0], 1, numbered(messages.get(next[0] % turns), ++next[0])));
             System.out.printf(
                     "| %d | %d | %d | %d | %d | %s | %s |%n",
                     nodes, names.length, bytes[0], turns, kept, making, taking);
