--- a/src/main/java/barrowflow/Choice.java
+++ b/src/main/java/barrowflow/Choice.java
@@ -5,7 +5,7 @@
 import barrowflow.MarketState.PendingJob;
 import barrowflow.MarketState.WorkerMarket;
 import barrowflow.gossip.Gossip;
-import barrowflow.probing.Prober;
+import barrowflow.probing.ProbeRateLimiter;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -80,7 +80,7 @@
     private Commodity lastRequested;
     private double tradedFraction = 1;
     private final Gossip gossip;
-    private final Prober prober;
+    private final ProbeRateLimiter probeRateLimiter;
     private long nextPeriodAt;
     private long retryListAt = Long.MAX_VALUE;
     private int listFailures;
@@ -107,7 +107,7 @@
         state.advanceClock(now);
         LoadSources may = settings.loadSources();
         gossip = !may.peers() ? null : new Gossip(settings.dispatchers(), may.peerPrice(), (int) random.nextLong());
-        prober = may.probes() && may.reportsOnlyByProbe() ? new Prober(settings.dispatchers(), may.probePrice()) : null;
+        probeRateLimiter = may.probes() && may.reportsOnlyByProbe() ? new ProbeRateLimiter(settings.dispatchers(), may.probePrice()) : null;
         // Danger: dispatchers whose periods align swing together, so the seed spreads their phase.
         nextPeriodAt = now + 1 + random.nextLong(period);
         actions.timerAt(nextPeriodAt);
@@ -370,14 +370,14 @@
     }
 
     private boolean peersHeard() {
-        return gossip != null && gossip.others() > 0;
+        return gossip != null && gossip.peerCount() > 0;
     }
 
     /** Tells the others what is out, and counts what they have out where they were heard. */
     private void gossip(long now) {
         if (gossip != null) {
-            gossip.expire(now);
-            if (gossip.due(now, tenantShares.jobsPerSecond(), hold)) {
+            gossip.expireSilentPeers(now);
+            if (gossip.isMessageDue(now, tenantShares.jobsPerSecond(), hold)) {
                 actions.tell(state.peerMessage(gossip, tenantShares.jobsPerSecondByTenant()));
             }
             state.applyPeerLoad(gossip);
@@ -389,7 +389,7 @@
      * many slots a kind of worker has they do not tell, and who has just begun would offer one of each.
      */
     private void sendProbes(long now) {
-        int due = prober == null ? 0 : prober.due(now, markets.size(), tenantShares.jobsPerSecond());
+        int due = probeRateLimiter == null ? 0 : probeRateLimiter.takeDueProbes(now, markets.size(), tenantShares.jobsPerSecond());
         for (WorkerMarket s : state.leastRecentlyProbed(due, peersHeard())) {
             s.probedAt = now;
             actions.probe(s.worker.id());
@@ -409,7 +409,7 @@
     public void heard(long now, int from, byte[] message) {
         state.advanceClock(now);
         if (gossip != null) {
-            gossip.heard(now, from, message);
+            gossip.receive(now, from, message);
         }
     }
 
--- a/src/main/java/barrowflow/MarketState.java
+++ b/src/main/java/barrowflow/MarketState.java
@@ -319,7 +319,7 @@
     /** What the others tell of their own jobs goes before reports, as long as any is heard. */
     void applyPeerLoad(Gossip gossip) {
         for (WorkerMarket s : markets) {
-            s.peerSlots = gossip.others() > 0 ? gossip.taken(s.worker.globalId()) : s.peerSlots;
+            s.peerSlots = gossip.peerCount() > 0 ? gossip.slotsTakenByPeers(s.worker.globalId()) : s.peerSlots;
         }
     }
 
@@ -327,7 +327,7 @@
     byte[] peerMessage(Gossip gossip, double[] perSecond) {
         List<WorkerMarket> used =
                 markets.stream().filter(s -> s.outstandingSlots > 0).toList();
-        return gossip.message(
+        return gossip.nextMessage(
                 used.stream().mapToLong(s -> s.worker.globalId()).toArray(),
                 used.stream().mapToDouble(s -> s.outstandingSlots).toArray(),
                 perSecond);
--- a/src/main/java/barrowflow/TenantShares.java
+++ b/src/main/java/barrowflow/TenantShares.java
@@ -65,7 +65,7 @@
      * One that has just begun has seen next to nothing: until it has, its part counts as even.
      */
     void refill(double period, Gossip others) {
-        boolean told = others != null && others.others() > 0;
+        boolean told = others != null && others.peerCount() > 0;
         double[] sorted = usage.clone();
         Arrays.sort(sorted);
         double median = sorted.length < 3 ? 0 : sorted[(sorted.length - 1) / 2] * 1e6 / USAGE_DECAY_MICROS;
@@ -74,7 +74,7 @@
             double share = tenants.get(t).jobsPerSecond();
             double seen = usage[t] * share * 1e6 / USAGE_DECAY_MICROS;
             double part = (seen + EVEN_PRIOR_JOBS)
-                    / (seen + (told ? others.perSecond(t) : 0) + EVEN_PRIOR_JOBS * dispatchers);
+                    / (seen + (told ? others.peerJobsPerSecond(t) : 0) + EVEN_PRIOR_JOBS * dispatchers);
             double mine = told ? part * observedFraction + even * (1 - observedFraction) : even;
             double rate = share * mine / 1e6;
             allowance[t] = Math.min(Math.max(MIN_BURST_JOBS, rate * USAGE_DECAY_MICROS), allowance[t] + rate * period);
