--- a/src/main/java/gorserill/program/Fleet.java
+++ b/src/main/java/gorserill/program/Fleet.java
@@ -30,7 +30,7 @@
     private static final int MOST_NAMES = 6;
 
     private final Loop loop;
-    private final HttpWorker.Terms terms;
+    private final HttpWorker.Config terms;
     private final List<String> zones;
     private final List<String> kinds;
     /** Names of workers that are gone, kept beside as many as are listed; they may come back. */
@@ -58,7 +58,7 @@
     Fleet(
             Loop loop,
             Core core,
-            HttpWorker.Terms terms,
+            HttpWorker.Config terms,
             List<String> zones,
             List<String> kinds,
             Predicate<String> banned) {
--- a/src/main/java/gorserill/program/Node.java
+++ b/src/main/java/gorserill/program/Node.java
@@ -15,7 +15,7 @@
 import gorserill.protocol.faktory.FaktoryCodec;
 import gorserill.protocol.faktory.FaktoryFront;
 import gorserill.protocol.http.HttpCodec;
-import gorserill.protocol.http.HttpFront;
+import gorserill.protocol.http.HttpFrontend;
 import gorserill.protocol.http.HttpWatch;
 import gorserill.protocol.http.HttpWorker;
 import gorserill.protocol.peers.PeerPort;
@@ -58,7 +58,7 @@
     private final CountDownLatch done = new CountDownLatch(1);
     private final CountDownLatch readied = new CountDownLatch(1);
     private Core core;
-    private HttpFront front;
+    private HttpFrontend front;
     private Gate gate;
     private Fleet fleet;
     private HttpWatch watch;
@@ -116,7 +116,7 @@
         }
         transport.start();
         transport.noticePauses();
-        HttpWorker.Terms terms = new HttpWorker.Terms(
+        HttpWorker.Config terms = new HttpWorker.Config(
                 loop,
                 transport,
                 transport.chain(HttpCodec.client(loop, Integer.MAX_VALUE)),
@@ -127,14 +127,14 @@
                 new ThrottledWarnings(loop, Logger.getLogger(HttpWorker.class.getName()), "workers' answers"));
         watch = new HttpWatch(
                 loop,
-                transport.apart(HttpWatch.MOST_CONNECTIONS),
+                transport.apart(HttpWatch.MAX_CONNECTIONS),
                 transport.chainOfFacts(HttpCodec.client(loop, MAX_LISTING)),
                 config.discovery,
                 new CallPace(config.settings.dispatchers(), !config.settings.listOnRequest(), config.seed),
                 this::heard,
                 this::watchFailed);
         if (config.known != null) {
-            watch.knows(config.known);
+            watch.startFrom(config.known);
         }
         core = new Core(loop, config.settings, config.seed, watch::start, siblings);
         core.crowded(transport::crowded);
@@ -156,7 +156,7 @@
         }
         gate = new Gate(loop, config.keysFor(), answers);
         gate.replace(config.contract);
-        front = new HttpFront(loop, core, config.classTerms(), tenants, gate, room);
+        front = new HttpFrontend(loop, core, config.classTerms(), tenants, gate, room);
         life = new Lifecycle(
                 loop,
                 config.name,
@@ -205,7 +205,7 @@
     /** Opens the fronts to clients; a socket that was passed on waits until the node is ready. */
     void open() throws IOException {
         if (!config.passedSocket) {
-            Filter codec = HttpCodec.server(transport::arrival, HttpFront.MAX_BODY, room);
+            Filter codec = HttpCodec.server(transport::arrival, HttpFrontend.MAX_BODY_BYTES, room);
             listening("clients", config.listen, transport.listen(config.listen, codec, front::accept));
         }
         if (faktory != null) {
@@ -309,7 +309,8 @@
                         "clients",
                         config.listen,
                         transport.listenOnPassed(
-                                HttpCodec.server(transport::arrival, HttpFront.MAX_BODY, room), front::accept));
+                                HttpCodec.server(transport::arrival, HttpFrontend.MAX_BODY_BYTES, room),
+                                front::accept));
             } catch (IOException e) {
                 LOG.log(Level.SEVERE, "the passed socket can''t be used: {0}", e.getMessage());
                 loop.at(loop.now() + BIND_AGAIN, () -> ready(why));
--- a/src/main/java/gorserill/program/NodeConfig.java
+++ b/src/main/java/gorserill/program/NodeConfig.java
@@ -12,7 +12,7 @@
 import gorserill.protocol.ClassTerms;
 import gorserill.protocol.discovery.Listing;
 import gorserill.protocol.faktory.FaktoryTerms;
-import gorserill.protocol.http.LoadNames;
+import gorserill.protocol.http.LoadFieldNames;
 import gorserill.protocol.peers.PeerPort;
 import gorserill.transport.Transport;
 import java.io.IOException;
@@ -61,7 +61,7 @@
     final List<String> classNames;
     final List<String> zones;
     final List<String> kinds;
-    final LoadNames reports;
+    final LoadFieldNames reports;
     /** Where other nodes are heard and spoken to; null where nowhere. */
     final PeerPort.Addresses peers;
     /** In the settings' order; none where the deployment has no tenants. */
@@ -129,7 +129,7 @@
         }
         zones = names(parser.text("areas"));
         kinds = names(parser.text("shapes"));
-        reports = new LoadNames(reportName(parser, "free_slots"), reportName(parser, "free_memory"));
+        reports = new LoadFieldNames(reportName(parser, "free_slots"), reportName(parser, "free_memory"));
         connectTimeout = (long) number(values, "caps.connect_timeout_us", 250_000);
         connectionIdle = (long) number(values, "caps.conn_idle_us", 15_000_000);
         drainGrace = (long) number(values, "obligations.drain_grace_us", 500_000);
--- a/src/main/java/gorserill/program/WarmUp.java
+++ b/src/main/java/gorserill/program/WarmUp.java
@@ -6,7 +6,7 @@
 import barrowflow.Dispatcher.Worker;
 import barrowflow.Dispatcher.WorkerState;
 import gorserill.common.Loop;
-import gorserill.protocol.http.HttpExercise;
+import gorserill.protocol.http.HttpCodecWarmUp;
 import gorserill.routing.Ask;
 import gorserill.routing.Attempt;
 import gorserill.routing.Core;
@@ -35,7 +35,7 @@
 
     /** Gives how many of the make-believe requests were answered. */
     static int run(Settings settings) {
-        HttpExercise.run(ROUNDS);
+        HttpCodecWarmUp.run(ROUNDS);
         // A clock of its own, so that the module's periods pass without waiting for them.
         long[] nanos = new long[1];
         Loop loop = new Loop(e -> LOG.log(Level.WARNING, "the warm-up failed; the node goes on", e), () -> nanos[0]);
--- a/src/main/java/gorserill/protocol/http/DiscoveryCall.java
+++ b/src/main/java/gorserill/protocol/http/DiscoveryCall.java
@@ -27,23 +27,23 @@
     /** What was on its way as the sending ended has come by then, microseconds. */
     private static final long LAST_WORDS = 2_000_000;
 
-    /** Is told, on the loop's thread, what becomes of a call; nothing once it was ended. */
-    interface Owner {
+    /** Is told, on the loop's thread, what becomes of a call; nothing once it was closed. */
+    interface Listener {
         void opened(DiscoveryCall call);
 
         /** @param closes whether no other call can be made on the connection */
         void answered(DiscoveryCall call, Listing listing, boolean closes);
 
-        void turnedAway(DiscoveryCall call);
+        void rejected(DiscoveryCall call);
 
         /** There was no answer in the time that was given for it. */
-        void silent(DiscoveryCall call);
+        void timedOut(DiscoveryCall call);
 
         void failed(DiscoveryCall call, String why);
     }
 
     private final Loop loop;
-    private final Owner owner;
+    private final Listener listener;
     private final int number;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final Transport.Connecting connecting;
@@ -53,9 +53,9 @@
     private Channel channel;
     private Deadline deadline;
     private HttpHead head;
-    private boolean asked;
+    private boolean sent;
     private boolean finishing;
-    private boolean ended;
+    private boolean closed;
     /** News up to this version came from elsewhere while the present call was out. */
     private long outdatedBelow;
 
@@ -65,39 +65,44 @@
      * @param number in the order in which they are opened, for logs
      */
     DiscoveryCall(
-            Loop loop, Transport transport, FilterChain chain, InetSocketAddress address, int number, Owner owner) {
+            Loop loop,
+            Transport transport,
+            FilterChain chain,
+            InetSocketAddress address,
+            int number,
+            Listener listener) {
         this.loop = loop;
-        this.owner = owner;
+        this.listener = listener;
         this.number = number;
         begun = loop.now();
         connecting = transport.connect(address, chain, this);
-        deadline = loop.at(begun + CallPace.CONNECT_TIMEOUT * 1_000, () -> owner.failed(this, "no connection"));
+        deadline = loop.at(begun + CallPace.CONNECT_TIMEOUT * 1_000, () -> listener.failed(this, "no connection"));
     }
 
     /** Makes the next call. */
-    void ask(String target, long patienceMillis) {
+    void send(String target, long patienceMillis) {
         LOG.log(Level.FINE, "discovery: asks {0}", target);
-        if (asked) {
+        if (sent) {
             begun = loop.now();
         }
-        asked = true;
+        sent = true;
         outdatedBelow = 0;
-        channel.write(HttpWriter.request("GET", target, "discovery").bytes());
+        channel.write(HttpMessageBuilder.request("GET", target, "discovery").bytes());
         loop.cancel(deadline);
-        deadline = loop.at(loop.now() + patienceMillis * 1_000, () -> owner.silent(this));
+        deadline = loop.at(loop.now() + patienceMillis * 1_000, () -> listener.timedOut(this));
     }
 
     /** Whether a call is out. */
-    boolean asked() {
-        return asked;
+    boolean isSent() {
+        return sent;
     }
 
-    long waitedMillis() {
+    long elapsedMillis() {
         return (loop.now() - begun) / 1_000;
     }
 
     /** What is answered to the call at hand may be older than this version. */
-    void outdatedBelow(long version) {
+    void markOutdatedBelow(long version) {
         outdatedBelow = Math.max(outdatedBelow, version);
     }
 
@@ -106,7 +111,7 @@
     }
 
     /** It may take as long as it likes from now on. */
-    void waitOn() {
+    void cancelTimeout() {
         loop.cancel(deadline);
     }
 
@@ -114,19 +119,19 @@
      * Ends the sending, and reads on for what is on its way. Danger: closed at once, an answer that discovery has just
      * written, and that counts as told, would be lost.
      */
-    void finish() {
+    void closeGracefully() {
         if (finishing) {
             return;
         }
         finishing = true;
         channel.endSending();
         loop.cancel(deadline);
-        deadline = loop.at(loop.now() + LAST_WORDS, this::end);
+        deadline = loop.at(loop.now() + LAST_WORDS, this::close);
     }
 
     /** Closes it; nothing more is told of it. */
-    void end() {
-        ended = true;
+    void close() {
+        closed = true;
         loop.cancel(deadline);
         if (channel != null) {
             channel.close();
@@ -135,22 +140,22 @@
         }
     }
 
-    boolean ended() {
-        return ended;
+    boolean isClosed() {
+        return closed;
     }
 
     /** For logs: which it is, how long it has been out, and what had come of an answer. */
     String describe() {
-        return "call " + number + ", out for " + waitedMillis() + " ms, " + body.size() + " bytes of an answer,";
+        return "call " + number + ", out for " + elapsedMillis() + " ms, " + body.size() + " bytes of an answer,";
     }
 
     @Override
     public void opened(Channel opened) {
         channel = opened;
-        if (ended) {
+        if (closed) {
             channel.close();
         } else {
-            owner.opened(this);
+            listener.opened(this);
         }
     }
 
@@ -165,8 +170,8 @@
     }
 
     private void fail(String why) {
-        if (!ended) {
-            owner.failed(this, why);
+        if (!closed) {
+            listener.failed(this, why);
         }
     }
 
@@ -174,14 +179,14 @@
     @SuppressWarnings("unchecked")
     public void received(Object messages) {
         for (Object message : (List<Object>) messages) {
-            if (ended) {
+            if (closed) {
                 return;
             } else if (message instanceof HttpHead answer) {
                 head = answer;
                 body.reset();
             } else if (message instanceof byte[] data) {
                 body.writeBytes(data);
-            } else if (message == HttpCodec.END) {
+            } else if (message == HttpCodec.END_OF_RESPONSE) {
                 answered();
             } else if (message != BEGUN) {
                 fail(((HttpException) message).getMessage());
@@ -192,7 +197,7 @@
     private void answered() {
         LOG.log(Level.FINE, "discovery: answers {0} with {1} bytes", new Object[] {head.status(), body.size()});
         if (head.status() == TURNED_AWAY) {
-            owner.turnedAway(this);
+            listener.rejected(this);
         } else if (head.status() != OK) {
             fail("status " + head.status());
         } else {
@@ -210,6 +215,6 @@
             return;
         }
         body.reset();
-        owner.answered(this, listing, head.closes());
+        listener.answered(this, listing, head.closes());
     }
 }
--- a/src/main/java/gorserill/protocol/http/HttpCall.java
+++ b/src/main/java/gorserill/protocol/http/HttpCall.java
@@ -5,7 +5,7 @@
 /** A request of HTTP as a contract looks at it. */
 record HttpCall(HttpRequest request, String path, String query) implements Call {
     static HttpCall of(HttpRequest request) {
-        String target = request.head().second();
+        String target = request.head().targetOrStatus();
         int question = target.indexOf('?');
         return question < 0
                 ? new HttpCall(request, target, null)
@@ -14,7 +14,7 @@
 
     @Override
     public String method() {
-        return request.head().first();
+        return request.head().methodOrVersion();
     }
 
     @Override
--- a/src/main/java/gorserill/protocol/http/HttpCodec.java
+++ b/src/main/java/gorserill/protocol/http/HttpCodec.java
@@ -2,7 +2,7 @@
 
 import gorserill.common.Loop;
 import gorserill.common.MemoryBudget;
-import gorserill.protocol.http.HttpReader.Step;
+import gorserill.protocol.http.HttpParser.Event;
 import gorserill.transport.Peer;
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
@@ -20,14 +20,14 @@
 /**
  * HTTP/1.1 as a filter. Upwards go lists of what was made out: on the client side's connections whole
  * {@link HttpRequest}s, and {@link Peer#BEGUN} where one is not whole yet; on those to servers {@link
- * HttpHead}, the body's pieces as {@code byte[]}, {@link #END}, and {@link Peer#BEGUN}; on both an {@link
+ * HttpHead}, the body's pieces as {@code byte[]}, {@link #END_OF_RESPONSE}, and {@link Peer#BEGUN}; on both an {@link
  * HttpException}, after which nothing comes. Downwards it takes {@code byte[]}.
  */
 public final class HttpCodec extends BaseFilter {
     /** The end of an answer. */
-    public static final Object END = new Object();
+    public static final Object END_OF_RESPONSE = new Object();
 
-    private static final byte[] CONTINUE = HttpWriter.ascii("HTTP/1.1 100 Continue\r\n\r\n");
+    private static final byte[] CONTINUE = HttpMessageBuilder.ascii("HTTP/1.1 100 Continue\r\n\r\n");
 
     /** When what is read came, microseconds. */
     private final LongSupplier arrival;
@@ -39,14 +39,14 @@
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("gorserill.http." + System.identityHashCode(this));
 
     private static final class State {
-        final HttpReader reader;
+        final HttpParser reader;
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         boolean broken;
         boolean begun;
         /** The message at hand is an interim answer (1xx), which no caller waits for. */
         boolean interim;
 
-        State(HttpReader reader) {
+        State(HttpParser reader) {
             this.reader = reader;
         }
     }
@@ -77,7 +77,7 @@
     public NextAction handleRead(FilterChainContext ctx) {
         State state = states.get(ctx.getConnection());
         if (state == null) {
-            state = new State(new HttpReader(answers, maxBody));
+            state = new State(new HttpParser(answers, maxBody));
             states.set(ctx.getConnection(), state);
             State its = state;
             ((Closeable) ctx.getConnection()).addCloseListener((connection, type) -> end(its));
@@ -111,9 +111,9 @@
     }
 
     private void decode(FilterChainContext ctx, State state, List<Object> out) throws HttpException {
-        for (Step step = state.reader.next(); step != Step.MORE; step = state.reader.next()) {
+        for (Event event = state.reader.next(); event != Event.NEED_MORE_INPUT; event = state.reader.next()) {
             HttpHead head = state.reader.head();
-            switch (step) {
+            switch (event) {
                 case HEAD -> {
                     state.interim = answers && head.status() < 200;
                     if (answers && !state.interim) {
@@ -137,7 +137,7 @@
                     if (!answers) {
                         out.add(new HttpRequest(head, state.body.toByteArray(), arrival.getAsLong()));
                     } else if (!state.interim) {
-                        out.add(END);
+                        out.add(END_OF_RESPONSE);
                     }
                     state.body = new ByteArrayOutputStream();
                 }
--- a/src/main/java/gorserill/protocol/http/HttpFront.java
+++ b/src/main/java/gorserill/protocol/http/HttpFrontend.java
@@ -32,13 +32,13 @@
 import java.util.logging.Logger;
 
 /** The platform's front: clients' requests over HTTP become the core's, and its answers HTTP's. */
-public final class HttpFront implements ClientFront {
-    private static final Logger LOG = Logger.getLogger(HttpFront.class.getName());
+public final class HttpFrontend implements ClientFront {
+    private static final Logger LOG = Logger.getLogger(HttpFrontend.class.getName());
     private static final byte[] NOTHING = {};
     private static final int MAX_WAITING = 16;
     private static final int MAX_ID = 128;
     /** Bytes of a body. */
-    public static final int MAX_BODY = 64 * 1024;
+    public static final int MAX_BODY_BYTES = 64 * 1024;
     /** A connection may stand idle between requests for so long. */
     private static final long IDLE = 60_000_000;
     /** The first request must be whole so long after connecting, any other so long after its first byte. */
@@ -65,7 +65,7 @@
      * @param gate which holds requests against a contract, if there is one
      * @param room in which the codec keeps bodies; freed here when a request is over
      */
-    public HttpFront(
+    public HttpFrontend(
             Loop loop, Core core, Map<String, ClassTerms> classes, Tenants tenants, Gate gate, MemoryBudget room) {
         this.loop = loop;
         this.core = core;
@@ -220,13 +220,15 @@
 
         private void dispatch(HttpRequest request) {
             HttpHead head = request.head();
-            String path = head.second().split("\\?", 2)[0];
-            if (path.equals("/healthz") && head.first().equals("GET")) {
-                respond(HttpWriter.answer(ready ? 200 : 503), NOTHING);
+            String path = head.targetOrStatus().split("\\?", 2)[0];
+            if (path.equals("/healthz") && head.methodOrVersion().equals("GET")) {
+                respond(HttpMessageBuilder.response(ready ? 200 : 503), NOTHING);
             } else if (gate.on()) {
                 byContract(request);
-            } else if (!head.first().equals("POST")) {
-                reject(head.first().equals("GET") ? 404 : 405, "no such thing: " + head.first() + " " + path);
+            } else if (!head.methodOrVersion().equals("POST")) {
+                reject(
+                        head.methodOrVersion().equals("GET") ? 404 : 405,
+                        "no such thing: " + head.methodOrVersion() + " " + path);
             } else {
                 int slash = path.indexOf('/', 1);
                 submit(
@@ -239,8 +241,8 @@
 
         private void byContract(HttpRequest request) {
             HttpCall call = HttpCall.of(request);
-            Admission admission =
-                    gate.admit("1".equals(call.header("x-resent")), contract -> Door.decide(contract, call, MAX_BODY));
+            Admission admission = gate.admit(
+                    "1".equals(call.header("x-resent")), contract -> Door.decide(contract, call, MAX_BODY_BYTES));
             Problem problem = admission.verdict().problem();
             if (problem != null) {
                 turnAway(problem);
@@ -260,7 +262,7 @@
             complaints.add(
                     Integer.toString(problem.status()), "connection " + channel.number() + ": " + problem.line());
             respond(
-                    HttpWriter.answer(problem.status())
+                    HttpMessageBuilder.response(problem.status())
                             .header("Content-Type", Problem.MEDIA_TYPE)
                             .header("Allow", problem.allow().isEmpty() ? null : String.join(", ", problem.allow())),
                     problem.json());
@@ -290,7 +292,7 @@
             } else {
                 Ask ask;
                 try {
-                    Labels labels = Labels.of(head);
+                    JobHeaders headers = JobHeaders.of(head);
                     Terms told = admission == null
                             ? null
                             : admission.verdict().operation().terms();
@@ -298,16 +300,16 @@
                     double slots = told == null ? 1 : told.usualSlots();
                     boolean repeat = "1".equals(head.header("x-resent"));
                     boolean less = patience.computeIfAbsent(terms.index(), c -> new Patience())
-                            .less(labels.remaining(terms.deadline()));
+                            .less(headers.remainingMicros(terms.deadline()));
                     ask = new Ask(
-                            request.arrived(),
-                            labels.remaining(most),
+                            request.arrivedMicros(),
+                            headers.remainingMicros(most),
                             repeat,
                             tenants.place(head.header("x-org")),
-                            labels.key(),
-                            labels.number("slots", "width", slots),
-                            labels.number("memory", "ram_units", 0),
-                            labels.estimate(),
+                            headers.entityKey(),
+                            headers.number("slots", "width", slots),
+                            headers.number("memory", "ram_units", 0),
+                            headers.estimateMicros(),
                             less && !repeat);
                 } catch (NumberFormatException e) {
                     reject(400, "an unreadable number in the headers: " + e.getMessage());
@@ -320,7 +322,7 @@
                         new Work(
                                 id,
                                 terms.index(),
-                                head.second(),
+                                head.targetOrStatus(),
                                 effectKey,
                                 head.header("content-type"),
                                 request.body(),
@@ -332,19 +334,19 @@
 
         @Override
         public void served(byte[] result) {
-            respond(HttpWriter.answer(200), result == null ? NOTHING : result);
+            respond(HttpMessageBuilder.response(200), result == null ? NOTHING : result);
         }
 
         @Override
         public void refused(long waitMicros) {
-            HttpWriter answer = HttpWriter.answer(503);
+            HttpMessageBuilder answer = HttpMessageBuilder.response(503);
             answer.header("Retry-After", waitMicros > 0 ? decimal(waitMicros) : null);
             respond(answer, NOTHING);
         }
 
         @Override
         public void failed() {
-            respond(HttpWriter.answer(500), NOTHING);
+            respond(HttpMessageBuilder.response(500), NOTHING);
         }
 
         @Override
@@ -358,14 +360,14 @@
             complaints.add(Integer.toString(status), "connection " + channel.number() + ": " + why);
             forgetAll();
             // Under a contract all that is turned away hears so in one form.
-            lastWord(HttpWriter.answer(status)
+            lastWord(HttpMessageBuilder.response(status)
                     .header("Content-Type", gate.on() ? Problem.MEDIA_TYPE : "text/plain")
                     .header("Allow", status == 405 ? "POST" : null)
                     .header("Retry-After", status == 503 ? 1 : null)
                     .header("Connection", "close")
                     .bytes(
                             gate.on()
-                                    ? Problem.of(status, HttpWriter.reason(status), why)
+                                    ? Problem.of(status, HttpMessageBuilder.reasonPhrase(status), why)
                                             .json()
                                     : why.getBytes(StandardCharsets.UTF_8)));
         }
@@ -380,7 +382,7 @@
             deadline = loop.at(loop.now() + LINGER, channel::close);
         }
 
-        private void respond(HttpWriter answer, byte[] body) {
+        private void respond(HttpMessageBuilder answer, byte[] body) {
             // Danger: a request that has come is owed an answer, also when the node drains.
             boolean last = intake != Intake.OPEN && waiting.isEmpty()
                     || current != null && current.head().closes();
--- a/src/main/java/gorserill/protocol/http/HttpWriter.java
+++ b/src/main/java/gorserill/protocol/http/HttpMessageBuilder.java
@@ -3,28 +3,28 @@
 import java.nio.charset.StandardCharsets;
 
 /** Puts HTTP/1.1 messages together. */
-final class HttpWriter {
+final class HttpMessageBuilder {
     private final StringBuilder head = new StringBuilder(256);
 
-    static HttpWriter answer(int status) {
-        HttpWriter writer = new HttpWriter();
+    static HttpMessageBuilder response(int status) {
+        HttpMessageBuilder writer = new HttpMessageBuilder();
         writer.head
                 .append("HTTP/1.1 ")
                 .append(status)
                 .append(' ')
-                .append(reason(status))
+                .append(reasonPhrase(status))
                 .append("\r\n");
         return writer;
     }
 
-    static HttpWriter request(String method, String target, String host) {
-        HttpWriter writer = new HttpWriter();
+    static HttpMessageBuilder request(String method, String target, String host) {
+        HttpMessageBuilder writer = new HttpMessageBuilder();
         writer.head.append(method).append(' ').append(target).append(" HTTP/1.1\r\n");
         return writer.header("Host", host);
     }
 
     /** A header; one whose value is null is left out. */
-    HttpWriter header(String name, Object value) {
+    HttpMessageBuilder header(String name, Object value) {
         if (value != null) {
             head.append(name).append(": ").append(value).append("\r\n");
         }
@@ -48,7 +48,7 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    static String reason(int status) {
+    static String reasonPhrase(int status) {
         return switch (status) {
             case 200 -> "OK";
             case 400 -> "Bad Request";
--- a/src/main/java/gorserill/protocol/http/HttpReader.java
+++ b/src/main/java/gorserill/protocol/http/HttpParser.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 
 /** Takes HTTP/1.1 messages of one connection apart, however their bytes come cut up. */
-final class HttpReader {
+final class HttpParser {
     /** What was made out. */
-    enum Step {
-        MORE,
+    enum Event {
+        NEED_MORE_INPUT,
         HEAD,
         DATA,
         END
@@ -52,9 +52,9 @@
     private State state = State.HEAD;
     private HttpHead head;
     private Set<String> repeated = Set.of();
-    private String first;
-    private String second;
-    private String third;
+    private String methodOrVersion;
+    private String targetOrStatus;
+    private String versionOrReason;
     private long left;
     private long body;
     private byte[] data;
@@ -65,7 +65,7 @@
     private int trailer;
 
     /** @param answers whether it reads answers; else requests */
-    HttpReader(boolean answers, int maxBody) {
+    HttpParser(boolean answers, int maxBody) {
         this.answers = answers;
         this.maxBody = maxBody;
     }
@@ -100,35 +100,35 @@
         return state != State.HEAD || from < to;
     }
 
-    Step next() throws HttpException {
+    Event next() throws HttpException {
         while (true) {
             switch (state) {
                 case HEAD -> {
                     int end = endOfHead();
                     if (end < 0) {
-                        return Step.MORE;
+                        return Event.NEED_MORE_INPUT;
                     }
                     parseHead(new String(bytes, from, end - from, StandardCharsets.ISO_8859_1));
                     from = end;
                     searched = end;
                     emptyLines = 0;
                     trailer = 0;
-                    return Step.HEAD;
+                    return Event.HEAD;
                 }
                 case LENGTH, CHUNK, UNTIL_CLOSE -> {
                     if (left == 0) {
                         state = state == State.CHUNK ? State.CHUNK_END : State.END;
                     } else if (from == to) {
-                        return Step.MORE;
+                        return Event.NEED_MORE_INPUT;
                     } else {
                         takeData();
-                        return Step.DATA;
+                        return Event.DATA;
                     }
                 }
                 case CHUNK_SIZE -> {
                     String line = line();
                     if (line == null) {
-                        return Step.MORE;
+                        return Event.NEED_MORE_INPUT;
                     }
                     left = chunkSize(line);
                     body += left;
@@ -138,7 +138,7 @@
                 case CHUNK_END -> {
                     String line = line();
                     if (line == null) {
-                        return Step.MORE;
+                        return Event.NEED_MORE_INPUT;
                     }
                     if (!line.isEmpty()) {
                         throw new HttpException(400, "a chunk longer than it says");
@@ -148,7 +148,7 @@
                 case TRAILER -> {
                     String line = line();
                     if (line == null) {
-                        return Step.MORE;
+                        return Event.NEED_MORE_INPUT;
                     }
                     trailer += line.length() + 2;
                     if (trailer > MAX_HEAD) {
@@ -158,7 +158,7 @@
                 }
                 default -> {
                     state = State.HEAD;
-                    return Step.END;
+                    return Event.END;
                 }
             }
         }
@@ -233,7 +233,7 @@
             end = text.indexOf("\r\n", from);
             header(text, from, end, headers);
         }
-        head = new HttpHead(first, second, third, headers, repeated);
+        head = new HttpHead(methodOrVersion, targetOrStatus, versionOrReason, headers, repeated);
         repeated = Set.of();
         frame();
     }
@@ -242,16 +242,17 @@
         checkText(line, 0, line.length());
         int one = line.indexOf(' ');
         int two = line.indexOf(' ', one + 1);
-        first = one < 0 ? line : line.substring(0, one);
-        second = one < 0 ? "" : line.substring(one + 1, two < 0 ? line.length() : two);
-        third = two < 0 ? "" : line.substring(two + 1);
-        String version = answers ? first : third;
+        methodOrVersion = one < 0 ? line : line.substring(0, one);
+        targetOrStatus = one < 0 ? "" : line.substring(one + 1, two < 0 ? line.length() : two);
+        versionOrReason = two < 0 ? "" : line.substring(two + 1);
+        String version = answers ? methodOrVersion : versionOrReason;
         if (!version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
             throw new HttpException(400, "not an HTTP/1.1 message");
         }
         boolean readable = answers
-                ? digits(second, 3, 3) && second.charAt(0) >= '1' && second.charAt(0) <= '5'
-                : token(first, 0, first.length()) && (second.startsWith("/") || second.equals("*"));
+                ? digits(targetOrStatus, 3, 3) && targetOrStatus.charAt(0) >= '1' && targetOrStatus.charAt(0) <= '5'
+                : token(methodOrVersion, 0, methodOrVersion.length())
+                        && (targetOrStatus.startsWith("/") || targetOrStatus.equals("*"));
         if (!readable) {
             throw new HttpException(400, "an unreadable " + (answers ? "status" : "target"));
         }
--- a/src/main/java/gorserill/protocol/http/HttpProbe.java
+++ b/src/main/java/gorserill/protocol/http/HttpProbe.java
@@ -25,7 +25,7 @@
 
     private static final int MAX_REPORT = 4 * 1024;
 
-    private final HttpWorker.Terms terms;
+    private final HttpWorker.Config config;
     private final String name;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Transport.Connecting connecting;
@@ -35,8 +35,8 @@
     private Consumer<Load> asked;
     private boolean over;
 
-    HttpProbe(HttpWorker.Terms terms, String name) {
-        this.terms = terms;
+    HttpProbe(HttpWorker.Config config, String name) {
+        this.config = config;
         this.name = name;
     }
 
@@ -52,17 +52,17 @@
     /** @param answer is told once, {@link Load#NONE} where nothing was learned */
     void ask(InetSocketAddress address, Consumer<Load> answer) {
         asked = answer;
-        terms.loop().cancel(deadline);
-        deadline = terms.loop().at(terms.loop().now() + PATIENCE, this::end);
+        config.loop().cancel(deadline);
+        deadline = config.loop().at(config.loop().now() + PATIENCE, this::end);
         if (channel != null) {
             write();
         } else {
-            connecting = terms.transport().connect(address, terms.chain(), this);
+            connecting = config.transport().connect(address, config.chain(), this);
         }
     }
 
     private void write() {
-        channel.write(HttpWriter.request("GET", "/load", name).bytes());
+        channel.write(HttpMessageBuilder.request("GET", "/load", name).bytes());
     }
 
     @Override
@@ -96,7 +96,7 @@
                 body.reset();
             } else if (message instanceof byte[] data && body.size() + data.length <= MAX_REPORT) {
                 body.writeBytes(data);
-            } else if (message == HttpCodec.END && asked != null) {
+            } else if (message == HttpCodec.END_OF_RESPONSE && asked != null) {
                 answered();
             } else if (message != BEGUN) {
                 end();
@@ -105,20 +105,20 @@
     }
 
     private void answered() {
-        Load load = head.status() == 200 ? report(body.toByteArray(), terms.reports()) : Load.NONE;
+        Load load = head.status() == 200 ? parseReport(body.toByteArray(), config.loadFields()) : Load.NONE;
         if (head.closes()) {
             end(load);
         } else {
-            terms.loop().cancel(deadline);
-            deadline = terms.loop().at(terms.loop().now() + terms.keepIdle(), this::end);
+            config.loop().cancel(deadline);
+            deadline = config.loop().at(config.loop().now() + config.idleTimeoutMicros(), this::end);
             tell(load);
         }
     }
 
     /** A report that can't be read is none. */
-    static Load report(byte[] text, LoadNames names) {
+    static Load parseReport(byte[] text, LoadFieldNames names) {
         try (JsonParser json = JSON.createParser(text)) {
-            return json.nextToken() == JsonToken.START_OBJECT ? JobEvent.load(json, names) : Load.NONE;
+            return json.nextToken() == JsonToken.START_OBJECT ? JobEvent.parseLoad(json, names) : Load.NONE;
         } catch (IOException e) {
             return Load.NONE;
         }
@@ -131,7 +131,7 @@
     private void end(Load load) {
         if (!over) {
             over = true;
-            terms.loop().cancel(deadline);
+            config.loop().cancel(deadline);
             if (channel != null) {
                 channel.close();
             } else if (connecting != null) {
--- a/src/main/java/gorserill/protocol/http/HttpWatch.java
+++ b/src/main/java/gorserill/protocol/http/HttpWatch.java
@@ -29,9 +29,9 @@
 
     private static final long EAGER = 4_000_000;
     /** Superseded calls that are read at a time; beyond that the oldest is closed. */
-    private static final int MOST_SUPERSEDED = 6;
+    private static final int MAX_SUPERSEDED = 6;
     /** Connections to discovery at a time: the call at hand, those that it superseded, and one being closed. */
-    public static final int MOST_CONNECTIONS = MOST_SUPERSEDED + 2;
+    public static final int MAX_CONNECTIONS = MAX_SUPERSEDED + 2;
 
     private final Loop loop;
     private final Transport transport;
@@ -40,7 +40,7 @@
     private final Runnable failed;
     private final CallPace pace;
     private final WatchStatistics statistics = new WatchStatistics();
-    private final CallOwner owner = new CallOwner();
+    private final CallListener callListener = new CallListener();
     /** The oldest first. */
     private final Deque<DiscoveryCall> superseded = new ArrayDeque<>();
 
@@ -101,7 +101,7 @@
      * takes its callers in turn busy with what they know, and each call that it turns away leaves a node
      * without a watch; so there it is asked for what is new since.
      */
-    public void knows(Listing known) {
+    public void startFrom(Listing known) {
         if (!known.entries().isEmpty() && !pace.startsWhole()) {
             index = known.index();
             whole = false;
@@ -118,14 +118,14 @@
             loop.at(restsUntil, this::start);
         } else if (call == null) {
             statistics.countCall();
-            call = new DiscoveryCall(loop, transport, chain, address, ++calls, owner);
+            call = new DiscoveryCall(loop, transport, chain, address, ++calls, callListener);
         }
     }
 
     private void ask() {
         long wait = whole ? 0 : pace.nextWait();
         String target = "/v1/servers" + (whole ? "" : "?index=" + index + "&wait=" + wait);
-        call.ask(target, pace.patience(wait));
+        call.send(target, pace.patience(wait));
     }
 
     /** Another call takes the place of the one at hand, which is read on if discovery has it. */
@@ -133,29 +133,29 @@
         if (call == null) {
             return;
         }
-        if (call.asked()) {
+        if (call.isSent()) {
             statistics.countSuperseded();
             LOG.log(Level.INFO, "discovery: {0} is superseded, and read on", call.describe());
-            call.waitOn();
+            call.cancelTimeout();
             superseded.add(call);
-            if (superseded.size() > MOST_SUPERSEDED) {
-                superseded.remove().end();
+            if (superseded.size() > MAX_SUPERSEDED) {
+                superseded.remove().close();
             }
         } else {
-            call.end();
+            call.close();
         }
         call = null;
     }
 
     /** The call at hand was answered: the others have nothing to tell but what is on its way. */
     private void finishSuperseded() {
-        superseded.removeIf(DiscoveryCall::ended);
-        superseded.forEach(DiscoveryCall::finish);
+        superseded.removeIf(DiscoveryCall::isClosed);
+        superseded.forEach(DiscoveryCall::closeGracefully);
     }
 
     /** The call at hand is over, and no other follows at once. */
     private void endCall() {
-        call.end();
+        call.close();
         call = null;
     }
 
@@ -167,19 +167,19 @@
         }
     }
 
-    private final class CallOwner implements DiscoveryCall.Owner {
+    private final class CallListener implements DiscoveryCall.Listener {
         @Override
-        public void opened(DiscoveryCall its) {
+        public void opened(DiscoveryCall source) {
             ask();
         }
 
         @Override
-        public void answered(DiscoveryCall its, Listing listing, boolean closes) {
-            if (its != call) {
-                answeredLate(its, listing);
+        public void answered(DiscoveryCall source, Listing listing, boolean closes) {
+            if (source != call) {
+                answeredLate(source, listing);
                 return;
             }
-            boolean outdated = its.isOutdated(listing);
+            boolean outdated = source.isOutdated(listing);
             if (!outdated) {
                 // Danger: a lower index is another count, of a service that has begun anew: what it calls new
                 // since then may leave out whatever came before.
@@ -205,35 +205,36 @@
         }
 
         /** Danger: what it tells counts as told, whichever call is the present one. */
-        private void answeredLate(DiscoveryCall its, Listing listing) {
-            drop(its);
+        private void answeredLate(DiscoveryCall source, Listing listing) {
+            drop(source);
             if (listing.index() <= index) {
                 return;
             }
             statistics.countLateAnswer();
-            LOG.log(Level.INFO, "discovery: {0} still tells version {1}", new Object[] {its.describe(), listing.index()
+            LOG.log(Level.INFO, "discovery: {0} still tells version {1}", new Object[] {
+                source.describe(), listing.index()
             });
             index = listing.index();
             if (call != null) {
-                call.outdatedBelow(index);
+                call.markOutdatedBelow(index);
             }
             heard.accept(listing);
         }
 
-        private void drop(DiscoveryCall its) {
-            superseded.remove(its);
-            its.end();
+        private void drop(DiscoveryCall source) {
+            superseded.remove(source);
+            source.close();
         }
 
         /** Danger: after a move the new address counts as heard soon, and is asked again at once. */
         @Override
-        public void turnedAway(DiscoveryCall its) {
-            if (its != call) {
-                drop(its);
+        public void rejected(DiscoveryCall source) {
+            if (source != call) {
+                drop(source);
                 return;
             }
             statistics.countTurnedAway();
-            LOG.log(Level.WARNING, "discovery: the watch was turned away: {0} ends", its.describe());
+            LOG.log(Level.WARNING, "discovery: the watch was turned away: {0} ends", source.describe());
             restsUntil = loop.now() < eagerUntil ? loop.now() : loop.now() + pace.turnedAway() * 1_000;
             endCall();
             fallBack();
@@ -244,23 +245,23 @@
          * call goes out at once. It can't do so often, since a silence takes seconds to notice.
          */
         @Override
-        public void silent(DiscoveryCall its) {
+        public void timedOut(DiscoveryCall source) {
             statistics.countSilent();
-            LOG.log(Level.WARNING, "discovery: no answer, the watch is opened anew: {0} has none", its.describe());
+            LOG.log(Level.WARNING, "discovery: no answer, the watch is opened anew: {0} has none", source.describe());
             pace.silent();
             supersede();
             start();
         }
 
         @Override
-        public void failed(DiscoveryCall its, String why) {
-            if (its != call) {
-                drop(its);
+        public void failed(DiscoveryCall source, String why) {
+            if (source != call) {
+                drop(source);
                 return;
             }
             statistics.countFailed();
-            LOG.log(Level.WARNING, "discovery: the watch failed: {0}: {1} ends", new Object[] {why, its.describe()});
-            boolean atOnce = pace.failed(its.waitedMillis());
+            LOG.log(Level.WARNING, "discovery: the watch failed: {0}: {1} ends", new Object[] {why, source.describe()});
+            boolean atOnce = pace.failed(source.elapsedMillis());
             endCall();
             if (atOnce) {
                 start();
--- a/src/main/java/gorserill/protocol/http/HttpWorker.java
+++ b/src/main/java/gorserill/protocol/http/HttpWorker.java
@@ -34,50 +34,50 @@
     /**
      * What all workers of a node have in common.
      *
-     * @param keepIdle how long a connection may stand idle
-     * @param complaints of answers with a status that the protocol does not have
+     * @param idleTimeoutMicros how long a connection may stand idle
+     * @param warnings of answers with a status that the protocol does not have
      */
-    public record Terms(
+    public record Config(
             Loop loop,
             Transport transport,
             FilterChain chain,
             List<String> classNames,
-            LoadNames reports,
-            long connectTimeout,
-            long keepIdle,
-            ThrottledWarnings complaints,
-            IdleTrust trust) {
-        public Terms(
+            LoadFieldNames loadFields,
+            long connectTimeoutMicros,
+            long idleTimeoutMicros,
+            ThrottledWarnings warnings,
+            IdleReuseLimit idleLimit) {
+        public Config(
                 Loop loop,
                 Transport transport,
                 FilterChain chain,
                 List<String> classNames,
-                LoadNames reports,
-                long connectTimeout,
-                long keepIdle,
-                ThrottledWarnings complaints) {
+                LoadFieldNames loadFields,
+                long connectTimeoutMicros,
+                long idleTimeoutMicros,
+                ThrottledWarnings warnings) {
             this(
                     loop,
                     transport,
                     chain,
                     classNames,
-                    reports,
-                    connectTimeout,
-                    keepIdle,
-                    complaints,
-                    new IdleTrust(loop, keepIdle));
+                    loadFields,
+                    connectTimeoutMicros,
+                    idleTimeoutMicros,
+                    warnings,
+                    new IdleReuseLimit(loop, idleTimeoutMicros));
         }
     }
 
-    private final Terms terms;
+    private final Config config;
     private final String name;
     private InetSocketAddress address;
     private final Deque<Link> idle = new ArrayDeque<>();
     private final Map<Attempt, Link> busy = new HashMap<>();
     private HttpProbe probe;
 
-    public HttpWorker(Terms terms, String name, InetSocketAddress address) {
-        this.terms = terms;
+    public HttpWorker(Config config, String name, InetSocketAddress address) {
+        this.config = config;
         this.name = name;
         this.address = address;
     }
@@ -120,7 +120,7 @@
         idle.removeIf(Link::gone);
         // The connection used last is the one least likely to be near its idle limit.
         Link link = idle.peekLast();
-        if (link != null && link.idleFor() > terms.trust().limit()) {
+        if (link != null && link.idleFor() > config.idleLimit().limitMicros()) {
             // The others have been idle for longer.
             closeIdle();
             link = null;
@@ -136,7 +136,7 @@
     @Override
     public void probe(Consumer<Load> answer) {
         if (probe == null || probe.over()) {
-            probe = new HttpProbe(terms, name);
+            probe = new HttpProbe(config, name);
         }
         if (probe.free()) {
             probe.ask(address, answer);
@@ -193,7 +193,7 @@
         }
 
         long idleFor() {
-            return terms.loop().now() - idleSince;
+            return config.loop().now() - idleSince;
         }
 
         void start(Attempt next, Work its, long until) {
@@ -207,15 +207,15 @@
             finished = false;
             ended = false;
             line.reset();
-            terms.loop().cancel(deadline);
+            config.loop().cancel(deadline);
             if (channel != null) {
                 idledFor = idleFor();
                 write();
             } else {
                 attempt.opening();
                 to = address;
-                connecting = terms.transport().connect(to, terms.chain(), this);
-                deadline = terms.loop().at(terms.loop().now() + terms.connectTimeout(), () -> {
+                connecting = config.transport().connect(to, config.chain(), this);
+                deadline = config.loop().at(config.loop().now() + config.connectTimeoutMicros(), () -> {
                     connecting.cancel();
                     connectFailed("not up within the time-out");
                 });
@@ -238,15 +238,15 @@
                 return;
             }
             unwritten = false;
-            sentAt = terms.loop().now();
+            sentAt = config.loop().now();
             String target = work.route() != null
                     ? work.route()
-                    : "/" + terms.classNames().get(work.jobClass());
-            long left = Math.max(1, (expires - terms.loop().now()) / 1_000);
+                    : "/" + config.classNames().get(work.jobClass());
+            long left = Math.max(1, (expires - config.loop().now()) / 1_000);
             sending = channel.write(
-                    HttpWriter.request("POST", target, name)
+                    HttpMessageBuilder.request("POST", target, name)
                             .header("X-Txn", work.id())
-                            .header("X-Lane", terms.classNames().get(work.jobClass()))
+                            .header("X-Lane", config.classNames().get(work.jobClass()))
                             .header("X-Remaining-Ms", left)
                             .header("Idempotency-Key", work.effectKey())
                             .header("X-Fence", work.fence())
@@ -262,7 +262,7 @@
                 channel.close();
                 return;
             }
-            terms.loop().cancel(deadline);
+            config.loop().cancel(deadline);
             write();
         }
 
@@ -293,7 +293,7 @@
             if (!shut) {
                 shut();
                 if (attempt != null && !unwritten && head == null && idledFor >= 0) {
-                    terms.trust().reset(idledFor, terms.loop().now() - sentAt);
+                    config.idleLimit().onReset(idledFor, config.loop().now() - sentAt);
                 }
                 // Before the request's last byte was written the job can't have run; after it, it may have.
                 finish(outcomeOfClose(), null, Load.NONE);
@@ -344,13 +344,13 @@
                 shut();
             }
             // An event of its own: the core may be in the middle of a call.
-            terms.loop().execute(() -> unwritten.ended(Outcome.NOT_SENT, null, Load.NONE));
+            config.loop().execute(() -> unwritten.ended(Outcome.NOT_SENT, null, Load.NONE));
         }
 
         void shut() {
             shut = true;
             idle.remove(this);
-            terms.loop().cancel(deadline);
+            config.loop().cancel(deadline);
             if (channel != null) {
                 channel.close();
             } else if (connecting != null) {
@@ -366,7 +366,7 @@
             finished = true;
             if (!shut) {
                 // The answer's end comes at once, or the connection is of no more use.
-                deadline = terms.loop().at(terms.loop().now() + ENDING, this::shut);
+                deadline = config.loop().at(config.loop().now() + ENDING, this::shut);
             }
             if (attempt != null) {
                 Attempt ended = attempt;
@@ -393,7 +393,7 @@
                     head(answer);
                 } else if (message instanceof byte[] data) {
                     data(data);
-                } else if (message == HttpCodec.END) {
+                } else if (message == HttpCodec.END_OF_RESPONSE) {
                     end();
                 } else {
                     broken(((HttpException) message).getMessage());
@@ -406,14 +406,14 @@
             if (finished) {
                 broken("an answer to no request");
             } else if (answer.status() >= 400 && answer.status() < 500) {
-                terms.complaints()
+                config.warnings()
                         .add(Integer.toString(answer.status()), "worker " + name + ": request " + attempt.requestId());
                 finish(Attempt::unusable);
             } else if (answer.status() != 200) {
                 boolean away = (answer.status() == 503 || answer.status() == 504)
                         && "1".equals(answer.header("x-turned-away"));
                 if (!away && answer.status() != 500) {
-                    terms.complaints()
+                    config.warnings()
                             .add(
                                     Integer.toString(answer.status()),
                                     "worker " + name + ": request " + attempt.requestId());
@@ -421,7 +421,7 @@
                 finish(
                         away ? Outcome.REJECTED : Outcome.ERROR,
                         null,
-                        JobEvent.load(answer.header("x-pressure"), terms.reports()));
+                        JobEvent.parseLoad(answer.header("x-pressure"), config.loadFields()));
             }
         }
 
@@ -449,14 +449,14 @@
         private void event(byte[] text) {
             JobEvent event;
             try {
-                event = JobEvent.parse(text, terms.reports());
+                event = JobEvent.parse(text, config.loadFields());
             } catch (IOException e) {
                 broken("an unreadable line: " + e.getMessage());
                 return;
             }
             if (!named && event.id() != null && event.id().equals(before)) {
                 // Danger: ended by it, a job that may not run twice would be lost to another's second answer.
-                terms.complaints().add("a second answer", "worker " + name + ": to request " + before);
+                config.warnings().add("a second answer", "worker " + name + ": to request " + before);
                 stray = true;
                 return;
             }
@@ -466,7 +466,9 @@
                 return;
             }
             named = true;
-            Load load = event.load() != null ? event.load() : JobEvent.load(head.header("x-pressure"), terms.reports());
+            Load load = event.load() != null
+                    ? event.load()
+                    : JobEvent.parseLoad(head.header("x-pressure"), config.loadFields());
             switch (event.state()) {
                 case "started" -> attempt.started();
                 case "done" -> finish(Outcome.SERVED, event.result(), load);
@@ -504,15 +506,15 @@
         private void rest() {
             finished = true;
             ended = true;
-            idleSince = terms.loop().now();
+            idleSince = config.loop().now();
             line = new ByteArrayOutputStream();
             idle.add(this);
-            terms.loop().cancel(deadline);
-            deadline = terms.loop().at(idleSince + terms.keepIdle(), this::shut);
+            config.loop().cancel(deadline);
+            deadline = config.loop().at(idleSince + config.idleTimeoutMicros(), this::shut);
         }
 
         private void broken(String why) {
-            terms.complaints().add("connection closed", "worker " + name + ": " + why);
+            config.warnings().add("connection closed", "worker " + name + ": " + why);
             shut();
             finish(Outcome.RESET, null, Load.NONE);
         }
--- a/src/main/java/gorserill/protocol/http/IdleTrust.java
+++ b/src/main/java/gorserill/protocol/http/IdleReuseLimit.java
@@ -8,7 +8,7 @@
  * not be sent again where its class forbids that. The trust falls with each such reset and comes back in
  * time.
  */
-final class IdleTrust {
+final class IdleReuseLimit {
     private static final long LEAST = 100_000;
     /** A reset so soon after the request was sent, with nothing of an answer, speaks of a forgotten one. */
     private static final long AT_ONCE = 100_000;
@@ -21,14 +21,14 @@
     private long lastChange;
 
     /** @param most the trust that nothing speaks against */
-    IdleTrust(Loop loop, long most) {
+    IdleReuseLimit(Loop loop, long most) {
         this.loop = loop;
         this.most = most;
         limit = most;
     }
 
     /** The longest that a connection may have been idle to be used again. */
-    long limit() {
+    long limitMicros() {
         while (limit < most && loop.now() - lastChange >= RECOVERY) {
             limit = Math.min(most, 2 * limit);
             lastChange += RECOVERY;
@@ -37,8 +37,8 @@
     }
 
     /** A request on a connection that had been idle was reset before any answer. */
-    void reset(long idle, long sinceSent) {
-        if (sinceSent <= AT_ONCE && idle / 2 < limit()) {
+    void onReset(long idle, long sinceSent) {
+        if (sinceSent <= AT_ONCE && idle / 2 < limitMicros()) {
             limit = Math.min(most, Math.max(LEAST, idle / 2));
         }
         lastChange = sinceSent <= AT_ONCE ? loop.now() : lastChange;
--- a/src/main/java/gorserill/protocol/http/JobEvent.java
+++ b/src/main/java/gorserill/protocol/http/JobEvent.java
@@ -20,7 +20,7 @@
     private static final JsonFactory JSON = new JsonFactory();
 
     /** @param reports the names of the report's values for free slots and free memory */
-    static JobEvent parse(byte[] line, LoadNames reports) throws IOException {
+    static JobEvent parse(byte[] line, LoadFieldNames reports) throws IOException {
         String id = null;
         String state = null;
         byte[] result = null;
@@ -44,7 +44,7 @@
                     result = Arrays.copyOfRange(
                             line, from, (int) json.currentLocation().getByteOffset());
                 } else if (name.equals("load") && value == JsonToken.START_OBJECT) {
-                    load = load(json, reports);
+                    load = parseLoad(json, reports);
                 } else {
                     json.skipChildren();
                 }
@@ -57,7 +57,7 @@
     }
 
     /** A report whose opening brace is the parser's present token. */
-    static Load load(JsonParser json, LoadNames reports) throws IOException {
+    static Load parseLoad(JsonParser json, LoadFieldNames reports) throws IOException {
         double slots = Double.NaN;
         double memory = Double.NaN;
         while (json.nextToken() != JsonToken.END_OBJECT) {
@@ -75,7 +75,7 @@
     }
 
     /** A report as a header has it, {@code name=value,name=value}. */
-    static Load load(String header, LoadNames reports) {
+    static Load parseLoad(String header, LoadFieldNames reports) {
         double slots = Double.NaN;
         double memory = Double.NaN;
         for (String field : header == null ? new String[0] : header.split(",")) {
--- a/src/main/java/gorserill/protocol/http/Labels.java
+++ b/src/main/java/gorserill/protocol/http/JobHeaders.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /** The figures in a request's headers. */
-final class Labels {
+final class JobHeaders {
     private final HttpHead head;
     private final Map<String, String> values = new HashMap<>();
 
-    private Labels(HttpHead head) {
+    private JobHeaders(HttpHead head) {
         this.head = head;
     }
 
     /** @throws NumberFormatException where one is unreadable, here as in the other methods */
-    static Labels of(HttpHead head) {
-        Labels labels = new Labels(head);
+    static JobHeaders of(HttpHead head) {
+        JobHeaders labels = new JobHeaders(head);
         for (String label : head.headers().getOrDefault("x-labels", "").split(",")) {
             int equals = label.indexOf('=');
             if (equals > 0) {
@@ -27,21 +27,21 @@
     }
 
     /** How long the client waits, in microseconds; no longer than its class allows. */
-    long remaining(long most) {
+    long remainingMicros(long maxMicros) {
         String millis = head.header("x-remaining-ms");
         if (millis == null) {
-            return most;
+            return maxMicros;
         }
         // Danger: a number that overflows, or is below zero, would make a deadline of any kind.
         int left = Integer.parseInt(millis);
         if (left <= 0) {
             throw new NumberFormatException("X-Remaining-Ms: " + millis);
         }
-        return Math.min(most, left * 1_000L);
+        return Math.min(maxMicros, left * 1_000L);
     }
 
     /** A guess at its work in microseconds, 0 for none. */
-    long estimate() {
+    long estimateMicros() {
         String micros = head.header("x-estimate");
         if (micros == null) {
             return 0;
@@ -54,7 +54,7 @@
     }
 
     /** What the request is about, 0 for nothing. A key that is no hexadecimal number is hashed. */
-    long key() {
+    long entityKey() {
         String entity = head.header("x-entity");
         if (entity == null || entity.isEmpty()) {
             return 0;
--- a/src/main/java/gorserill/protocol/http/LoadNames.java
+++ b/src/main/java/gorserill/protocol/http/LoadFieldNames.java
@@ -1,4 +1,4 @@
 package gorserill.protocol.http;
 
 /** What load reports call free slots and free memory; null where they do not tell. */
-public record LoadNames(String freeSlots, String freeMemory) {}
+public record LoadFieldNames(String freeSlots, String freeMemory) {}
--- a/src/test/java/gorserill/protocol/http/ClientLeftTest.java
+++ b/src/test/java/gorserill/protocol/http/ClientLeftTest.java
@@ -64,7 +64,7 @@
     public void start() throws Exception {
         live = new LiveCore(100, true, PATIENT);
         workers = new StandInWorkers(2);
-        reads = new HeldReads(HttpCodec.server(live.loop::now, HttpFront.MAX_BODY, live.room));
+        reads = new HeldReads(HttpCodec.server(live.loop::now, HttpFrontend.MAX_BODY_BYTES, live.room));
         at = live.listen(reads);
     }
 
@@ -322,7 +322,7 @@
             Socket client = connect(at);
             for (int i = 1; i <= 15; i++) {
                 client.getOutputStream()
-                        .write(HttpWriter.ascii("POST /estado HTTP/1.1\r\nX-Txn: a-" + i
+                        .write(HttpMessageBuilder.ascii("POST /estado HTTP/1.1\r\nX-Txn: a-" + i
                                 + "\r\nX-Remaining-Ms: 1800\r\nContent-Length: 4000\r\n\r\n" + body));
             }
             LiveCore.await(() -> reads.count() >= before + 5);
@@ -363,12 +363,12 @@
         Accepted[] rested = rested(1);
         InetSocketAddress faktory = listenFaktory();
         Socket client = connect(faktory);
-        client.getOutputStream().write(HttpWriter.ascii("HELLO {\"v\":2}\r\n"));
+        client.getOutputStream().write(HttpMessageBuilder.ascii("HELLO {\"v\":2}\r\n"));
         awaitText(client, "+OK\r\n");
         live.on(() -> {
             int before = live.transport.connections();
             client.getOutputStream()
-                    .write(HttpWriter.ascii("PUSH {\"jid\":\"a-1-of-faktory\","
+                    .write(HttpMessageBuilder.ascii("PUSH {\"jid\":\"a-1-of-faktory\","
                             + "\"jobtype\":\"estado\",\"queue\":\"default\",\"args\":[]}\r\n"));
             leave(client);
             LiveCore.await(() -> live.transport.connections() == before - 1);
--- a/src/test/java/gorserill/protocol/http/ClosingTest.java
+++ b/src/test/java/gorserill/protocol/http/ClosingTest.java
@@ -42,7 +42,7 @@
     public void start() throws Exception {
         live = new LiveCore(100, true);
         workers = new StandInWorkers(1);
-        reads = new HeldReads(HttpCodec.server(live.loop::now, HttpFront.MAX_BODY, live.room));
+        reads = new HeldReads(HttpCodec.server(live.loop::now, HttpFrontend.MAX_BODY_BYTES, live.room));
         at = live.listen(reads);
     }
 
--- a/src/test/java/gorserill/protocol/http/HttpProbeTest.java
+++ b/src/test/java/gorserill/protocol/http/HttpProbeTest.java
@@ -48,12 +48,12 @@
         loop.start();
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             HttpWorker worker = new HttpWorker(
-                    new HttpWorker.Terms(
+                    new HttpWorker.Config(
                             loop,
                             transport,
                             transport.chain(HttpCodec.client(loop, Integer.MAX_VALUE)),
                             List.of("estado"),
-                            new LoadNames("x0", null),
+                            new LoadFieldNames("x0", null),
                             250_000,
                             15_000_000,
                             new ThrottledWarnings(loop, Logger.getLogger(HttpProbeTest.class.getName()), "answers")),
@@ -91,12 +91,12 @@
         loop.start();
         try {
             HttpWorker worker = new HttpWorker(
-                    new HttpWorker.Terms(
+                    new HttpWorker.Config(
                             loop,
                             transport,
                             transport.chain(HttpCodec.client(loop, Integer.MAX_VALUE)),
                             List.of("estado"),
-                            new LoadNames("x0", null),
+                            new LoadFieldNames("x0", null),
                             250_000,
                             15_000_000,
                             new ThrottledWarnings(loop, Logger.getLogger(HttpProbeTest.class.getName()), "answers")),
--- a/src/test/java/gorserill/protocol/http/HttpWatchTest.java
+++ b/src/test/java/gorserill/protocol/http/HttpWatchTest.java
@@ -63,7 +63,7 @@
                     pace,
                     into::add,
                     () -> failures.add("failed"));
-            watch.knows(known);
+            watch.startFrom(known);
             watch.start();
             return watch;
         });
--- a/src/test/java/gorserill/protocol/http/LiveCore.java
+++ b/src/test/java/gorserill/protocol/http/LiveCore.java
@@ -48,9 +48,9 @@
     final Transport transport;
     final Core core;
     final MemoryBudget room = new MemoryBudget(1_000_000);
-    HttpFront front;
+    HttpFrontend front;
     Transport.Listening listening;
-    private final HttpWorker.Terms terms;
+    private final HttpWorker.Config terms;
     private Callable<?> crossing;
     /** Runs right before an attempt at a crossed port starts. */
     Callable<?> onStart = () -> null;
@@ -75,12 +75,12 @@
                 true,
                 true,
                 0);
-        terms = new HttpWorker.Terms(
+        terms = new HttpWorker.Config(
                 loop,
                 transport,
                 transport.chain(HttpCodec.client(loop, Integer.MAX_VALUE)),
                 List.of("estado"),
-                new LoadNames("x0", null),
+                new LoadFieldNames("x0", null),
                 2_000_000,
                 15_000_000,
                 new ThrottledWarnings(loop, Logger.getLogger(LiveCore.class.getName()), "answers"));
@@ -99,16 +99,16 @@
 
     /** The front for clients, on an address of its own. */
     InetSocketAddress listen() throws Exception {
-        return listen(HttpCodec.server(loop::now, HttpFront.MAX_BODY, room));
+        return listen(HttpCodec.server(loop::now, HttpFrontend.MAX_BODY_BYTES, room));
     }
 
     InetSocketAddress listen(Filter codec) throws Exception {
-        front = on(() -> new HttpFront(
+        front = on(() -> new HttpFrontend(
                 loop,
                 core,
                 Map.of("estado", new ClassTerms(0, 2_000_000, false, false)),
                 new Tenants(List.of()),
-                new Gate(loop, 0, terms.complaints()),
+                new Gate(loop, 0, terms.warnings()),
                 room));
         InetSocketAddress at = ReservedPort.untilExit();
         listening = transport.listen(at, codec, front::accept);
@@ -117,7 +117,7 @@
 
     /** A request as clients send it. */
     static byte[] job(String id) {
-        return HttpWriter.ascii("POST /estado HTTP/1.1\r\nHost: app.svc\r\nX-Txn: " + id
+        return HttpMessageBuilder.ascii("POST /estado HTTP/1.1\r\nHost: app.svc\r\nX-Txn: " + id
                 + "\r\nX-Remaining-Ms: 1800\r\nContent-Length: 0\r\n\r\n");
     }
 
