--- a/src/main/java/gorserill/program/ClusterPart.java
+++ b/src/main/java/gorserill/program/ClusterPart.java
@@ -22,7 +22,7 @@
 import gorserill.routing.Core;
 import gorserill.routing.Front;
 import gorserill.routing.Work;
-import gorserill.transport.Datagrams;
+import gorserill.transport.DatagramTransport;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -63,7 +63,7 @@
     private final List<String> classNames;
     private final ClusterConfig config;
     private final String node;
-    private final Datagrams datagrams;
+    private final DatagramTransport datagrams;
     private final DiskShelf shelf;
     private final Member member;
     /** Null where none is announced. */
@@ -123,7 +123,7 @@
                 config.drift());
         try {
             member = new Member(terms, this, shelf, System.nanoTime(), Duty.of(duties), config.plants());
-            datagrams = new Datagrams(loop, config.listen(), Member.MOST + 1, this::heard);
+            datagrams = new DatagramTransport(loop, config.listen(), Member.MOST + 1, this::heard);
         } catch (BadMessage e) {
             shelf.close();
             throw new IOException(config.store() + ": the voter's store: " + e.getMessage(), e);
--- a/src/main/java/gorserill/program/Node.java
+++ b/src/main/java/gorserill/program/Node.java
@@ -71,7 +71,7 @@
 
     private Lifecycle life;
     private Figures figures;
-    private final List<Transport.Listening> listeners = new ArrayList<>();
+    private final List<Transport.Listener> listeners = new ArrayList<>();
     private boolean opened;
     /** The last word of discovery that came before the fronts were open; null if there was none. */
     private String heardBeforeOpen;
@@ -115,7 +115,7 @@
             });
         }
         transport.start();
-        transport.noticePauses();
+        transport.trackProcessPauses();
         HttpWorker.Terms terms = new HttpWorker.Terms(
                 loop,
                 transport,
@@ -127,8 +127,8 @@
                 new ThrottledWarnings(loop, Logger.getLogger(HttpWorker.class.getName()), "workers' answers"));
         watch = new HttpWatch(
                 loop,
-                transport.apart(HttpWatch.MOST_CONNECTIONS),
-                transport.chainOfFacts(HttpCodec.client(loop, MAX_LISTING)),
+                transport.withSeparateBudget(HttpWatch.MOST_CONNECTIONS),
+                transport.chainForStateUpdates(HttpCodec.client(loop, MAX_LISTING)),
                 config.discovery,
                 new CallPace(config.settings.dispatchers(), !config.settings.listOnRequest(), config.seed),
                 this::heard,
@@ -137,7 +137,7 @@
             watch.knows(config.known);
         }
         core = new Core(loop, config.settings, config.seed, watch::start, siblings);
-        core.crowded(transport::crowded);
+        core.crowded(transport::isNearDescriptorLimit);
         Bans bans = new Bans(config.folder, config.name);
         fleet = new Fleet(loop, core, terms, config.zones, config.kinds, bans::has);
         ThrottledWarnings answers = new ThrottledWarnings(
@@ -163,7 +163,7 @@
                 core,
                 faktory == null ? List.of(front) : List.of(front, faktory),
                 config.passedSocket,
-                () -> listeners.forEach(Transport.Listening::end),
+                () -> listeners.forEach(Transport.Listener::stopAccepting),
                 done::countDown);
         if (config.known != null) {
             fleet.tell(ListKind.CACHED, config.known);
@@ -197,7 +197,7 @@
             loop.execute(() -> listenOnceFree(
                     "operators",
                     config.admin,
-                    () -> transport.listenApart(
+                    () -> transport.listenWithSeparateBudget(
                             config.admin, new LineCodec(), admin::accept, NodeConfig.ADMIN_CONNECTIONS)));
         }
     }
@@ -205,7 +205,7 @@
     /** Opens the fronts to clients; a socket that was passed on waits until the node is ready. */
     void open() throws IOException {
         if (!config.passedSocket) {
-            Filter codec = HttpCodec.server(transport::arrival, HttpFront.MAX_BODY, room);
+            Filter codec = HttpCodec.server(transport::earliestArrivalMicros, HttpFront.MAX_BODY, room);
             listening("clients", config.listen, transport.listen(config.listen, codec, front::accept));
         }
         if (faktory != null) {
@@ -249,7 +249,7 @@
 
     @FunctionalInterface
     private interface Binding {
-        Transport.Listening bind() throws IOException;
+        Transport.Listener bind() throws IOException;
     }
 
     /** Danger: the process before this one may hold the address until it ends; nothing waits for that. */
@@ -264,7 +264,7 @@
         }
     }
 
-    private void listening(String whom, InetSocketAddress at, Transport.Listening listener) {
+    private void listening(String whom, InetSocketAddress at, Transport.Listener listener) {
         listeners.add(listener);
         LOG.log(Level.INFO, "{0} listens for {1} at {2}", new Object[] {config.name, whom, at});
     }
@@ -278,7 +278,7 @@
                     config.name,
                     core.tally().answersSince(),
                     core.openRequests(),
-                    transport.connections(),
+                    transport.connectionCount(),
                     (jvm.totalMemory() - jvm.freeMemory()) >> 20,
                     room.used() >> 10
                 });
@@ -308,8 +308,9 @@
                 listening(
                         "clients",
                         config.listen,
-                        transport.listenOnPassed(
-                                HttpCodec.server(transport::arrival, HttpFront.MAX_BODY, room), front::accept));
+                        transport.listenOnInherited(
+                                HttpCodec.server(transport::earliestArrivalMicros, HttpFront.MAX_BODY, room),
+                                front::accept));
             } catch (IOException e) {
                 LOG.log(Level.SEVERE, "the passed socket can''t be used: {0}", e.getMessage());
                 loop.at(loop.now() + BIND_AGAIN, () -> ready(why));
--- a/src/main/java/gorserill/program/NodeConfig.java
+++ b/src/main/java/gorserill/program/NodeConfig.java
@@ -271,7 +271,7 @@
      * machine may hold the process up between the check and the write.
      */
     long mostFactAge() {
-        return Math.max(LEAST_FACT_AGE, Math.min(Transport.MOST_FACT_AGE, drainGrace - HOLD_UP));
+        return Math.max(LEAST_FACT_AGE, Math.min(Transport.DEFAULT_MAX_INPUT_AGE_MICROS, drainGrace - HOLD_UP));
     }
 
     /** How long workers know a key at the most, microseconds. */
--- a/src/main/java/gorserill/program/Rehearsal.java
+++ b/src/main/java/gorserill/program/Rehearsal.java
@@ -30,9 +30,9 @@
 
     /** Gives the first line of the answer. */
     static String run() throws IOException, ConfigException, InterruptedException {
-        try (ReservedPort clients = ReservedPort.take();
-                ReservedPort operators = ReservedPort.take()) {
-            return run(clients.number(), operators.number());
+        try (ReservedPort clients = ReservedPort.reserve();
+                ReservedPort operators = ReservedPort.reserve()) {
+            return run(clients.port(), operators.port());
         }
     }
 
--- a/src/main/java/gorserill/program/demo/Demo.java
+++ b/src/main/java/gorserill/program/demo/Demo.java
@@ -43,9 +43,9 @@
 
     private final PrintStream out;
     private final Path folder;
-    private final int clients = ReservedPort.untilExit().getPort();
-    private final int faktory = ReservedPort.untilExit().getPort();
-    private final int operators = ReservedPort.untilExit().getPort();
+    private final int clients = ReservedPort.reserveUntilExit().getPort();
+    private final int faktory = ReservedPort.reserveUntilExit().getPort();
+    private final int operators = ReservedPort.reserveUntilExit().getPort();
 
     private Demo(PrintStream out) throws IOException {
         this.out = out;
--- a/src/main/java/gorserill/program/drill/Ports.java
+++ b/src/main/java/gorserill/program/drill/Ports.java
@@ -8,6 +8,6 @@
     private Ports() {}
 
     static int next() throws IOException {
-        return ReservedPort.untilExit().getPort();
+        return ReservedPort.reserveUntilExit().getPort();
     }
 }
--- a/src/main/java/gorserill/protocol/admin/AdminFront.java
+++ b/src/main/java/gorserill/protocol/admin/AdminFront.java
@@ -4,7 +4,7 @@
 import gorserill.common.Loop;
 import gorserill.common.ThrottledWarnings;
 import gorserill.transport.Channel;
-import gorserill.transport.Peer;
+import gorserill.transport.ChannelListener;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
@@ -79,11 +79,11 @@
     }
 
     /** A peer for a connection just accepted. */
-    public Peer accept() {
+    public ChannelListener accept() {
         return new Caller();
     }
 
-    private final class Caller implements Peer {
+    private final class Caller implements ChannelListener {
         private Channel channel;
         private Deadline deadline;
         private boolean answered;
@@ -117,7 +117,7 @@
         }
 
         private void turnAway(String why) {
-            complaints.add(why, channel.remote());
+            complaints.add(why, channel.remoteAddress());
             answer(fail(why));
         }
 
--- a/src/main/java/gorserill/protocol/faktory/FaktoryCodec.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktoryCodec.java
@@ -1,7 +1,7 @@
 package gorserill.protocol.faktory;
 
 import gorserill.common.MemoryBudget;
-import gorserill.transport.Peer;
+import gorserill.transport.ChannelListener;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
@@ -18,9 +18,9 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /**
- * The Faktory work protocol's frames as a filter. Upwards go lists of {@link Line}s, {@link Peer#BEGUN} where
- * one is not whole yet, or a {@link FrameException}, after which nothing comes. Downwards it takes replies as
- * {@code byte[]}.
+ * The Faktory work protocol's frames as a filter. Upwards go lists of {@link Line}s,
+ * {@link ChannelListener#PARTIAL_MESSAGE} where one is not whole yet, or a {@link FrameException}, after which nothing
+ * comes. Downwards it takes replies as {@code byte[]}.
  */
 public final class FaktoryCodec extends BaseFilter {
     /** The longest line: a body of 64 KiB and its verb. */
@@ -77,7 +77,7 @@
             decode(state, in, out);
             boolean more = state.line.size() > 0;
             if (more && (!state.begun || !out.isEmpty())) {
-                out.add(Peer.BEGUN);
+                out.add(ChannelListener.PARTIAL_MESSAGE);
             }
             state.begun = more;
         } catch (FrameException e) {
--- a/src/main/java/gorserill/protocol/faktory/FaktoryFront.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktoryFront.java
@@ -25,7 +25,7 @@
 import gorserill.routing.Front;
 import gorserill.routing.Work;
 import gorserill.transport.Channel;
-import gorserill.transport.Peer;
+import gorserill.transport.ChannelListener;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -179,7 +179,7 @@
     }
 
     /** A peer for a connection just accepted. */
-    public Peer accept() {
+    public ChannelListener accept() {
         return new Session();
     }
 
@@ -207,7 +207,7 @@
     public void closeIdle() {
         for (Session session : List.copyOf(sessions)) {
             if (session.push == null && session.member == null && !session.ended && session.waiting.isEmpty()) {
-                session.channel.closeAtRest();
+                session.channel.closeIfIdle();
             }
         }
     }
@@ -245,7 +245,7 @@
     }
 
     /** A connection, of a client, a worker or both; its commands are carried out one after another. */
-    private final class Session implements Peer, FaktoryWorker.Fetcher {
+    private final class Session implements ChannelListener, FaktoryWorker.Fetcher {
         private final Deque<FaktoryCodec.Line> waiting = new ArrayDeque<>();
         private final String salt = Long.toHexString(random.nextLong());
         private Channel channel;
@@ -275,7 +275,7 @@
             loop.cancel(silence);
             silence = loop.at(loop.now() + SILENCE, () -> {
                 if (push == null) {
-                    LOG.log(Level.INFO, "faktory connection {0}: silent for a minute, closed", channel.number());
+                    LOG.log(Level.INFO, "faktory connection {0}: silent for a minute, closed", channel.tableIndex());
                     channel.close();
                 } else {
                     heard();
@@ -292,7 +292,7 @@
             for (Object message : (List<Object>) messages) {
                 if (message instanceof FaktoryCodec.Line line) {
                     line(line);
-                } else if (!ended && message == BEGUN) {
+                } else if (!ended && message == PARTIAL_MESSAGE) {
                     // A line that drips in holds a connection; until HELLO the first deadline stands.
                     if (known && whole == null) {
                         whole = loop.at(loop.now() + WHOLE_LINE, () -> refuse("no whole line in time", true));
@@ -342,9 +342,9 @@
             }
             if (!ended && push == null && fetch == null && member == null) {
                 if (known) {
-                    channel.resting();
+                    channel.markIdle();
                 } else {
-                    channel.unproven();
+                    channel.markUnproven();
                 }
             }
         }
@@ -523,16 +523,16 @@
 
         @Override
         public void afterReads(Runnable then) {
-            channel.afterReads(then);
+            channel.runAfterReads(then);
         }
 
         @Override
         public BooleanSupplier handOut(byte[] unit, Runnable written) {
             loop.cancel(fetch);
             fetch = null;
-            Channel.Sending sending = channel.write(Replies.bulk(unit), written);
+            Channel.PendingWrite sending = channel.write(Replies.bulk(unit), written);
             loop.execute(this::next);
-            return sending::written;
+            return sending::isWritten;
         }
 
         private void beat(String rest) throws IOException {
@@ -577,7 +577,7 @@
         }
 
         private void refuse(String why, boolean last) {
-            complaints.add("-ERR", "connection " + channel.number() + ": " + why);
+            complaints.add("-ERR", "connection " + channel.tableIndex() + ": " + why);
             if (last) {
                 // Danger: its client hears so at once, also in place of an answer that it waits for.
                 abandonPush();
@@ -674,7 +674,7 @@
 
         @Override
         public boolean left() {
-            return session.channel.gone() || session.channel.behind();
+            return session.channel.isClosed() || session.channel.isReadLagging();
         }
 
         private void remember(boolean served) {
--- a/src/main/java/gorserill/protocol/http/DiscoveryCall.java
+++ b/src/main/java/gorserill/protocol/http/DiscoveryCall.java
@@ -7,7 +7,7 @@
 import gorserill.protocol.discovery.CallPace;
 import gorserill.protocol.discovery.Listing;
 import gorserill.transport.Channel;
-import gorserill.transport.Peer;
+import gorserill.transport.ChannelListener;
 import gorserill.transport.Transport;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -18,7 +18,7 @@
 import org.glassfish.grizzly.filterchain.FilterChain;
 
 /** A connection to discovery with one call after another on it. It reads answers, and decides nothing. */
-final class DiscoveryCall implements Peer {
+final class DiscoveryCall implements ChannelListener {
     private static final Logger LOG = Logger.getLogger(DiscoveryCall.class.getName());
     private static final JsonFactory JSON = new JsonFactory();
     private static final int OK = 200;
@@ -46,7 +46,7 @@
     private final Owner owner;
     private final int number;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private final Transport.Connecting connecting;
+    private final Transport.PendingConnection connecting;
     /** When the present call was begun, its connection included. */
     private long begun;
 
@@ -119,7 +119,7 @@
             return;
         }
         finishing = true;
-        channel.endSending();
+        channel.shutdownOutput();
         loop.cancel(deadline);
         deadline = loop.at(loop.now() + LAST_WORDS, this::end);
     }
@@ -183,7 +183,7 @@
                 body.writeBytes(data);
             } else if (message == HttpCodec.END) {
                 answered();
-            } else if (message != BEGUN) {
+            } else if (message != PARTIAL_MESSAGE) {
                 fail(((HttpException) message).getMessage());
             }
         }
--- a/src/main/java/gorserill/protocol/http/HttpCodec.java
+++ b/src/main/java/gorserill/protocol/http/HttpCodec.java
@@ -3,7 +3,7 @@
 import gorserill.common.Loop;
 import gorserill.common.MemoryBudget;
 import gorserill.protocol.http.HttpReader.Step;
-import gorserill.transport.Peer;
+import gorserill.transport.ChannelListener;
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,9 +19,9 @@
 
 /**
  * HTTP/1.1 as a filter. Upwards go lists of what was made out: on the client side's connections whole
- * {@link HttpRequest}s, and {@link Peer#BEGUN} where one is not whole yet; on those to servers {@link
- * HttpHead}, the body's pieces as {@code byte[]}, {@link #END}, and {@link Peer#BEGUN}; on both an {@link
- * HttpException}, after which nothing comes. Downwards it takes {@code byte[]}.
+ * {@link HttpRequest}s, and {@link ChannelListener#PARTIAL_MESSAGE} where one is not whole yet; on those to servers
+ * {@link HttpHead}, the body's pieces as {@code byte[]}, {@link #END}, and {@link ChannelListener#PARTIAL_MESSAGE};
+ * on both an {@link HttpException}, after which nothing comes. Downwards it takes {@code byte[]}.
  */
 public final class HttpCodec extends BaseFilter {
     /** The end of an answer. */
@@ -99,7 +99,7 @@
                 decode(ctx, state, out);
                 boolean more = state.reader.midMessage();
                 if (more && (!state.begun || !out.isEmpty())) {
-                    out.add(Peer.BEGUN);
+                    out.add(ChannelListener.PARTIAL_MESSAGE);
                 }
                 state.begun = more;
             } catch (HttpException e) {
--- a/src/main/java/gorserill/protocol/http/HttpFront.java
+++ b/src/main/java/gorserill/protocol/http/HttpFront.java
@@ -19,7 +19,7 @@
 import gorserill.routing.Front;
 import gorserill.routing.Work;
 import gorserill.transport.Channel;
-import gorserill.transport.Peer;
+import gorserill.transport.ChannelListener;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -77,7 +77,7 @@
     }
 
     /** A peer for a connection just accepted. */
-    public Peer accept() {
+    public ChannelListener accept() {
         return new Client();
     }
 
@@ -109,7 +109,7 @@
         return clients.isEmpty();
     }
 
-    private final class Client implements Peer, Front {
+    private final class Client implements ChannelListener, Front {
         private final Deque<HttpRequest> waiting = new ArrayDeque<>();
         private Channel channel;
         private HttpRequest current;
@@ -135,7 +135,7 @@
                 loop.cancel(deadline);
                 deadline = loop.at(loop.now() + BRIEF, this::late);
             } else if (current == null && !ending && waiting.isEmpty()) {
-                channel.closeAtRest();
+                channel.closeIfIdle();
             }
         }
 
@@ -145,7 +145,7 @@
             for (Object message : (List<Object>) messages) {
                 if (ending) {
                     room.free(message instanceof HttpRequest late ? late.body().length : 0);
-                } else if (message == BEGUN) {
+                } else if (message == PARTIAL_MESSAGE) {
                     begun();
                 } else if (message instanceof HttpException broken) {
                     cutOff(broken.status(), broken.getMessage());
@@ -173,7 +173,7 @@
             if (begun || !proven) {
                 reject(408, "no whole request in time");
             } else {
-                channel.closeAtRest();
+                channel.closeIfIdle();
             }
         }
 
@@ -258,7 +258,7 @@
         /** What its contract does not let in is told so, and may go on: it speaks HTTP well enough. */
         private void turnAway(Problem problem) {
             complaints.add(
-                    Integer.toString(problem.status()), "connection " + channel.number() + ": " + problem.line());
+                    Integer.toString(problem.status()), "connection " + channel.tableIndex() + ": " + problem.line());
             respond(
                     HttpWriter.answer(problem.status())
                             .header("Content-Type", Problem.MEDIA_TYPE)
@@ -350,12 +350,12 @@
         @Override
         public boolean left() {
             // Danger: a close is seen behind what is still to be read.
-            return channel.gone() || channel.behind();
+            return channel.isClosed() || channel.isReadLagging();
         }
 
         /** Turns away what can't be used, and whoever sent it: such clients hold connections for long. */
         private void reject(int status, String why) {
-            complaints.add(Integer.toString(status), "connection " + channel.number() + ": " + why);
+            complaints.add(Integer.toString(status), "connection " + channel.tableIndex() + ": " + why);
             forgetAll();
             // Under a contract all that is turned away hears so in one form.
             lastWord(HttpWriter.answer(status)
@@ -395,9 +395,9 @@
                 if (!waiting.isEmpty()) {
                     loop.execute(this::next);
                 } else if (proven) {
-                    channel.resting();
+                    channel.markIdle();
                 } else {
-                    channel.unproven();
+                    channel.markUnproven();
                 }
             }
         }
--- a/src/main/java/gorserill/protocol/http/HttpProbe.java
+++ b/src/main/java/gorserill/protocol/http/HttpProbe.java
@@ -6,7 +6,7 @@
 import gorserill.common.Deadlines.Deadline;
 import gorserill.routing.Load;
 import gorserill.transport.Channel;
-import gorserill.transport.Peer;
+import gorserill.transport.ChannelListener;
 import gorserill.transport.Transport;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -18,7 +18,7 @@
  * Asks one worker for its load, {@code GET /load}, one call at a time on a connection of its own, kept for
  * the next one. What is refused, late, cut off, too long or no report counts as nothing told.
  */
-final class HttpProbe implements Peer {
+final class HttpProbe implements ChannelListener {
     private static final JsonFactory JSON = new JsonFactory();
     /** A worker that waits longer tells of a past. */
     private static final long PATIENCE = 1_000_000;
@@ -28,7 +28,7 @@
     private final HttpWorker.Terms terms;
     private final String name;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private Transport.Connecting connecting;
+    private Transport.PendingConnection connecting;
     private Channel channel;
     private Deadline deadline;
     private HttpHead head;
@@ -98,7 +98,7 @@
                 body.writeBytes(data);
             } else if (message == HttpCodec.END && asked != null) {
                 answered();
-            } else if (message != BEGUN) {
+            } else if (message != PARTIAL_MESSAGE) {
                 end();
             }
         }
--- a/src/main/java/gorserill/protocol/http/HttpWorker.java
+++ b/src/main/java/gorserill/protocol/http/HttpWorker.java
@@ -9,7 +9,7 @@
 import gorserill.routing.Work;
 import gorserill.routing.WorkerPort;
 import gorserill.transport.Channel;
-import gorserill.transport.Peer;
+import gorserill.transport.ChannelListener;
 import gorserill.transport.Transport;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -152,14 +152,14 @@
     }
 
     /** One connection, with one request at a time. */
-    private final class Link implements Peer {
+    private final class Link implements ChannelListener {
         private ByteArrayOutputStream line = new ByteArrayOutputStream();
-        private Transport.Connecting connecting;
+        private Transport.PendingConnection connecting;
         private Channel channel;
         /** Where it leads, from its opening on. */
         private InetSocketAddress to;
 
-        private Channel.Sending sending;
+        private Channel.PendingWrite sending;
         private Deadline deadline;
         private Attempt attempt;
         private Work work;
@@ -189,7 +189,7 @@
         private boolean shut;
 
         boolean gone() {
-            return channel.gone();
+            return channel.isClosed();
         }
 
         long idleFor() {
@@ -225,7 +225,7 @@
         /** Danger: the worker may drain, or the client have left, and word of it may lie unread. */
         private void write() {
             Attempt its = attempt;
-            channel.afterReads(() -> {
+            channel.runAfterReads(() -> {
                 if (attempt == its && unwritten) {
                     writeNow();
                 }
@@ -305,7 +305,7 @@
                 // One that rested and ended says nothing of the worker.
                 return idledFor >= 0 ? Outcome.NOT_SENT : Outcome.CONNECT_FAILED;
             }
-            return sending.written() ? Outcome.RESET : Outcome.CONNECT_FAILED;
+            return sending.isWritten() ? Outcome.RESET : Outcome.CONNECT_FAILED;
         }
 
         /** @return whether the request provably never reached the worker */
@@ -385,7 +385,7 @@
                 } else if (unwritten && attempt != null) {
                     // Danger: taken for its answer, it would end a job that never went out.
                     giveBack(false);
-                } else if (message == BEGUN) {
+                } else if (message == PARTIAL_MESSAGE) {
                     if (finished && ended) {
                         broken("bytes that nobody asked for");
                     }
--- a/src/main/java/gorserill/protocol/peers/PeerPort.java
+++ b/src/main/java/gorserill/protocol/peers/PeerPort.java
@@ -2,7 +2,7 @@
 
 import gorserill.common.Loop;
 import gorserill.common.ThrottledWarnings;
-import gorserill.transport.Datagrams;
+import gorserill.transport.DatagramTransport;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -27,7 +27,7 @@
     public record Addresses(InetSocketAddress listen, InetSocketAddress all, List<InetSocketAddress> nodes, int me) {}
 
     private final Addresses addresses;
-    private final Datagrams datagrams;
+    private final DatagramTransport datagrams;
     private final ThrottledWarnings complaints;
     private final BiConsumer<Integer, byte[]> heard;
     private long sent;
@@ -41,7 +41,7 @@
         this.addresses = addresses;
         this.heard = heard;
         complaints = new ThrottledWarnings(loop, LOG, "messages of other nodes dropped");
-        datagrams = new Datagrams(loop, addresses.listen(), MOST + 1, this::arrived);
+        datagrams = new DatagramTransport(loop, addresses.listen(), MOST + 1, this::arrived);
     }
 
     private void arrived(InetSocketAddress from, byte[] message) {
--- a/src/main/java/gorserill/transport/Channel.java
+++ b/src/main/java/gorserill/transport/Channel.java
@@ -30,10 +30,10 @@
     private static final int MOST_DISCARDED = 128 * 1024;
 
     private final Connection<Object> connection;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final Consumer<Runnable> onSelector;
     private final ReadBarrier barrier;
-    final Peer peer;
+    final ChannelListener peer;
     long handle;
     private int handedOver;
     /** Bytes read since the loop had taken all reads but one; not counted where this side connected. */
@@ -54,8 +54,8 @@
     /** @param onSelector runs something on the thread that reads from the connection */
     Channel(
             Connection<Object> connection,
-            Peer peer,
-            Descriptors descriptors,
+            ChannelListener peer,
+            DescriptorBudget descriptors,
             Consumer<Runnable> onSelector,
             ReadBarrier barrier) {
         this.onSelector = onSelector;
@@ -66,24 +66,24 @@
     }
 
     /** A message on its way out. */
-    public static final class Sending {
+    public static final class PendingWrite {
         private volatile boolean written;
 
-        private Sending() {}
+        private PendingWrite() {}
 
         /** Whether its last byte has been written to the socket. */
-        public boolean written() {
+        public boolean isWritten() {
             return written;
         }
     }
 
     /** Sends a message that the chain's codec can encode. */
-    public Sending write(Object message) {
+    public PendingWrite write(Object message) {
         return send(message, () -> {});
     }
 
     /** The same; tells once the last byte has been written, on whichever thread that is. */
-    public Sending write(Object message, Runnable written) {
+    public PendingWrite write(Object message, Runnable written) {
         return send(message, written);
     }
 
@@ -94,12 +94,12 @@
      */
     public void writeAndLinger(Object message) {
         lingering = true;
-        descriptors.unproven(this);
-        send(message, this::endSending);
+        descriptors.markUnproven(this);
+        send(message, this::shutdownOutput);
     }
 
     /** Ends the sending; what comes is read on. */
-    public void endSending() {
+    public void shutdownOutput() {
         try {
             ((SocketChannel) ((NIOConnection) (Closeable) connection).getChannel()).shutdownOutput();
         } catch (IOException e) {
@@ -107,8 +107,8 @@
         }
     }
 
-    private Sending send(Object message, Runnable then) {
-        Sending sending = new Sending();
+    private PendingWrite send(Object message, Runnable then) {
+        PendingWrite sending = new PendingWrite();
         // Only completed() proves that the last byte left: a write that is refused at once, say on a
         // connection closed a moment ago, must not count as sent.
         connection.write(message, new EmptyCompletionHandler<WriteResult<Object, Object>>() {
@@ -127,26 +127,26 @@
     }
 
     /** Nothing is owed on it: it may be closed when descriptors run short. */
-    public void resting() {
+    public void markIdle() {
         rest(true);
     }
 
     /** The same for one that has not yet brought anything of use: such go first. */
-    public void unproven() {
+    public void markUnproven() {
         rest(false);
     }
 
     /** Danger: a message that waits for the loop is taken, and closing on it would lose it. */
     private synchronized void rest(boolean proven) {
         if (handedOver == 0 && proven) {
-            descriptors.resting(this);
+            descriptors.markIdle(this);
         } else if (handedOver == 0) {
-            descriptors.unproven(this);
+            descriptors.markUnproven(this);
         }
     }
 
     /** On the selector's thread: so much was read from a connection that was accepted. */
-    synchronized void arrived(int bytes) {
+    synchronized void bytesRead(int bytes) {
         counted = true;
         untaken += bytes;
         lastRead = System.nanoTime();
@@ -158,9 +158,9 @@
      * @param whole whether it is more than the beginning of a message
      * @param pauses whether reading may stop until the loop has caught up
      */
-    synchronized void handedOver(boolean whole, boolean pauses) {
+    synchronized void readQueued(boolean whole, boolean pauses) {
         if (whole) {
-            descriptors.busy(this);
+            descriptors.markBusy(this);
         }
         reads++;
         if (++handedOver > MOST_HANDED_OVER && pauses && !paused && (!counted || untaken > MOST_UNTAKEN)) {
@@ -171,7 +171,7 @@
     }
 
     /** On the loop's thread: it has taken what was handed over first. */
-    synchronized void taken() {
+    synchronized void readTaken() {
         if (--handedOver <= 1) {
             untaken = 0;
         }
@@ -188,7 +188,7 @@
      * be carried out for a client that is told nothing. There, all that was read is handed over, and what is
      * not read yet the client sees refused, and sends anew.
      */
-    public synchronized void closeAtRest() {
+    public synchronized void closeIfIdle() {
         long seen = reads;
         if (handedOver == 0) {
             onSelector.accept(() -> closeUnlessRead(seen));
@@ -214,7 +214,7 @@
     }
 
     /** On the selector's thread: whether input after the last answer was thrown away. */
-    boolean discards(Buffer input) {
+    boolean discardIfLingering(Buffer input) {
         if (lingering) {
             discarded += input.remaining();
             input.tryDispose();
@@ -232,12 +232,12 @@
     }
 
     /** Whether it has ended; any thread may ask, and may know before the peer has heard of it. */
-    public boolean gone() {
+    public boolean isClosed() {
         return !connection.isOpen();
     }
 
     /** Whether reading was paused and has not caught up: its close may not have been seen. */
-    public synchronized boolean behind() {
+    public synchronized boolean isReadLagging() {
         boolean caughtUp = !paused && System.nanoTime() - lastRead >= CAUGHT_UP_NANOS;
         behind &= !caughtUp;
         return behind;
@@ -247,17 +247,17 @@
      * Runs something on the loop's thread, at once or in a moment: when all is taken in that the other sides of
      * all connections, this one or others, did until a moment ago ({@link ReadBarrier}).
      */
-    public void afterReads(Runnable then) {
-        barrier.after(((NIOConnection) (Closeable) connection).getSelectorRunner(), then);
+    public void runAfterReads(Runnable then) {
+        barrier.runAfterReads(((NIOConnection) (Closeable) connection).getSelectorRunner(), then);
     }
 
     /** Its number in the table of connections, for logs. */
-    public String number() {
+    public String tableIndex() {
         return Long.toString(handle & 0xfffff);
     }
 
     /** The other side's address, for logs. */
-    public String remote() {
+    public String remoteAddress() {
         return String.valueOf(connection.getPeerAddress());
     }
 }
--- a/src/main/java/gorserill/transport/Peer.java
+++ b/src/main/java/gorserill/transport/ChannelListener.java
@@ -1,9 +1,9 @@
 package gorserill.transport;
 
 /** Who a connection's events are for. All of it is called on the loop's thread, in order. */
-public interface Peer {
+public interface ChannelListener {
     /** A codec's word that a message has begun and is not whole yet. */
-    Object BEGUN = new Object();
+    Object PARTIAL_MESSAGE = new Object();
 
     /** The connection is up. */
     void opened(Channel channel);
--- a/src/main/java/gorserill/transport/Datagrams.java
+++ b/src/main/java/gorserill/transport/DatagramTransport.java
@@ -27,8 +27,8 @@
  * only where something is to be sent that way. What comes in is handed to the loop; datagrams that come
  * faster than the loop takes them are dropped, since whoever sends them counts on some being lost.
  */
-public final class Datagrams {
-    private static final Logger LOG = Logger.getLogger(Datagrams.class.getName());
+public final class DatagramTransport {
+    private static final Logger LOG = Logger.getLogger(DatagramTransport.class.getName());
     /** Datagrams that wait for the loop. Danger: a flood must not fill the memory. */
     private static final int WAITING = 256;
 
@@ -43,7 +43,7 @@
      * @param heard a datagram's sender and bytes, on the loop's thread
      * @throws IOException where the address can't be had
      */
-    public Datagrams(Loop loop, InetSocketAddress at, int most, BiConsumer<InetSocketAddress, byte[]> heard)
+    public DatagramTransport(Loop loop, InetSocketAddress at, int most, BiConsumer<InetSocketAddress, byte[]> heard)
             throws IOException {
         this.loop = loop;
         ThreadPoolConfig one = ThreadPoolConfig.defaultConfig()
--- a/src/main/java/gorserill/transport/Descriptors.java
+++ b/src/main/java/gorserill/transport/DescriptorBudget.java
@@ -11,7 +11,7 @@
  * can always be reached; when that is used up, those on which nothing is owed make room, first the oldest of
  * those that never brought anything of use, then whichever rests longest. Any thread may call it.
  */
-final class Descriptors {
+final class DescriptorBudget {
     private final int budget;
     private final int mostAccepted;
     private final Siblings siblings;
@@ -27,14 +27,14 @@
      * @param mostAccepted the most of them that others may open
      * @param siblings who hold part of the budget, too
      */
-    Descriptors(int budget, int mostAccepted, Siblings siblings) {
+    DescriptorBudget(int budget, int mostAccepted, Siblings siblings) {
         this.siblings = siblings;
         this.budget = budget;
         this.mostAccepted = mostAccepted;
     }
 
     /** Takes a descriptor for a connection to be opened; false where none is left. */
-    synchronized boolean open() {
+    synchronized boolean tryAcquire() {
         if (all >= left()) {
             return false;
         }
@@ -42,7 +42,7 @@
         return true;
     }
 
-    synchronized void closed() {
+    synchronized void release() {
         count(-1);
     }
 
@@ -56,7 +56,7 @@
     }
 
     /** A connection was accepted; gives one to close for it, or null, or the new one itself. */
-    synchronized Channel accepted(Channel channel) {
+    synchronized Channel registerAccepted(Channel channel) {
         count(1);
         accepted++;
         Channel least = accepted <= mostAccepted && all <= left() ? null : least(channel);
@@ -76,29 +76,29 @@
         return otherwise;
     }
 
-    synchronized void acceptedClosed(Channel channel) {
-        busy(channel);
+    synchronized void releaseAccepted(Channel channel) {
+        markBusy(channel);
         count(-1);
         accepted--;
     }
 
-    synchronized void busy(Channel channel) {
+    synchronized void markBusy(Channel channel) {
         unproven.remove(channel);
         resting.remove(channel);
     }
 
-    synchronized void resting(Channel channel) {
-        busy(channel);
+    synchronized void markIdle(Channel channel) {
+        markBusy(channel);
         resting.add(channel);
     }
 
-    synchronized void unproven(Channel channel) {
-        busy(channel);
+    synchronized void markUnproven(Channel channel) {
+        markBusy(channel);
         unproven.add(channel);
     }
 
     /** Whether next to nothing is left to open connections with. */
-    synchronized boolean crowded() {
+    synchronized boolean isNearLimit() {
         return all > left() - budget / 16;
     }
 
--- a/src/main/java/gorserill/transport/HandOver.java
+++ b/src/main/java/gorserill/transport/LoopHandoffFilter.java
@@ -8,8 +8,8 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /** The last filter of every chain: hands what the codec made out to the loop's thread. */
-final class HandOver extends BaseFilter {
-    private static final List<Object> ONLY_BEGUN = List.of(Peer.BEGUN);
+final class LoopHandoffFilter extends BaseFilter {
+    private static final List<Object> ONLY_PARTIAL_MESSAGE = List.of(ChannelListener.PARTIAL_MESSAGE);
 
     private final Executor lane;
     private final Attribute<Channel> channels;
@@ -17,11 +17,11 @@
     /** Whether reading stops for a while where the loop is behind with what was read. */
     private final boolean pauses;
 
-    HandOver(Executor lane, Attribute<Channel> channels) {
+    LoopHandoffFilter(Executor lane, Attribute<Channel> channels) {
         this(lane, channels, () -> {}, true);
     }
 
-    private HandOver(Executor lane, Attribute<Channel> channels, Runnable read, boolean pauses) {
+    private LoopHandoffFilter(Executor lane, Attribute<Channel> channels, Runnable read, boolean pauses) {
         this.lane = lane;
         this.channels = channels;
         this.read = read;
@@ -33,8 +33,8 @@
      *
      * @param read is told, on the selector's thread, of each read
      */
-    static HandOver ofFacts(Executor lane, Attribute<Channel> channels, Runnable read) {
-        return new HandOver(lane, channels, read, false);
+    static LoopHandoffFilter forStateUpdates(Executor lane, Attribute<Channel> channels, Runnable read) {
+        return new LoopHandoffFilter(lane, channels, read, false);
     }
 
     @Override
@@ -43,9 +43,9 @@
         Object message = ctx.getMessage();
         read.run();
         if (channel != null) {
-            channel.handedOver(!ONLY_BEGUN.equals(message), pauses);
+            channel.readQueued(!ONLY_PARTIAL_MESSAGE.equals(message), pauses);
             lane.execute(() -> {
-                channel.taken();
+                channel.readTaken();
                 channel.peer.received(message);
             });
         }
--- a/src/main/java/gorserill/transport/ReadBarrier.java
+++ b/src/main/java/gorserill/transport/ReadBarrier.java
@@ -23,8 +23,8 @@
  */
 final class ReadBarrier {
     /** Connections that were seen open so long ago count as open, in microseconds. */
-    static final long MOST_END_AGE = 50_000;
-    /** All connections are read at least this often while {@link #beat} goes on, in milliseconds. */
+    static final long MAX_CLOSE_AGE_MICROS = 50_000;
+    /** All connections are read at least this often while {@link #startPeriodicPasses} goes on, in milliseconds. */
     private static final int BEAT = 50;
     /** What is read without a pass for longer may have come at any time since, in microseconds. */
     private static final long MOST_UNREAD = 100_000;
@@ -57,12 +57,12 @@
     }
 
     /** On the selector's thread: a part of a statement was read, or a connection accepted and not yet read from. */
-    void moreMayCome() {
+    void expectMoreInput() {
         unfinishedReads++;
     }
 
     /** From now on there is a pass every {@link #BEAT} whatever goes on, so that a pause of the process is noticed. */
-    void beat(SelectorRunner selector) {
+    void startPeriodicPasses(SelectorRunner selector) {
         // Nothing came before there was where to.
         readAt = loop.now();
         beats = true;
@@ -93,7 +93,7 @@
      * When something that is read now came, at the earliest, in microseconds of the loop's clock; any thread may ask.
      * Danger: after a pause of the process it may have waited in the system all the while, at its sender's expense.
      */
-    long arrival() {
+    long earliestArrivalMicros() {
         long now = loop.now();
         long unreadSince = readAt;
         return beats && now - unreadSince > MOST_UNREAD ? unreadSince : now;
@@ -104,7 +104,7 @@
      *
      * @param selector whose thread reads all connections
      */
-    void after(SelectorRunner selector, Runnable then) {
+    void runAfterReads(SelectorRunner selector, Runnable then) {
         if (waiting.isEmpty() && holds()) {
             then.run();
             return;
@@ -124,7 +124,7 @@
     }
 
     private boolean readRecently() {
-        return loop.now() - readAt <= MOST_END_AGE;
+        return loop.now() - readAt <= MAX_CLOSE_AGE_MICROS;
     }
 
     /** Has all connections read, and hears of it behind all that was read. */
--- a/src/main/java/gorserill/transport/ReservedPort.java
+++ b/src/main/java/gorserill/transport/ReservedPort.java
@@ -39,7 +39,7 @@
     }
 
     /** Reserves a port until it is closed. */
-    public static ReservedPort take() throws IOException {
+    public static ReservedPort reserve() throws IOException {
         for (int tries = 0; tries < MANY; tries++) {
             int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), MANY);
             Socket holder = new Socket();
@@ -58,8 +58,8 @@
     }
 
     /** Reserves a port until this process ends. */
-    public static InetSocketAddress untilExit() throws IOException {
-        ReservedPort port = take();
+    public static InetSocketAddress reserveUntilExit() throws IOException {
+        ReservedPort port = reserve();
         UNTIL_EXIT.add(port);
         return port.address();
     }
@@ -70,7 +70,7 @@
     }
 
     /** The number of the port. */
-    public int number() {
+    public int port() {
         return holder.getLocalPort();
     }
 
--- a/src/main/java/gorserill/transport/Transport.java
+++ b/src/main/java/gorserill/transport/Transport.java
@@ -45,19 +45,19 @@
     private static final int READ_BUFFER = 8 * 1024;
     private static final int BACKLOG = 512;
     /** How old what was said may be as something is written that hangs on it, unless a deployment asks for less. */
-    public static final long MOST_FACT_AGE = 100_000;
+    public static final long DEFAULT_MAX_INPUT_AGE_MICROS = 100_000;
 
     /** Where connections are accepted. */
-    public interface Listening {
+    public interface Listener {
         /**
          * Accepts nothing more than what waits to be accepted by now; that is left to other processes where
          * the socket was passed on.
          */
-        void end();
+        void stopAccepting();
     }
 
     /** A connection on its way up. */
-    public interface Connecting {
+    public interface PendingConnection {
         /** Gives it up; nothing more is told of it. */
         void cancel();
     }
@@ -67,7 +67,7 @@
     private final Attribute<Channel> channels;
     private final SlotTable<Channel> table;
     /** Connections up or on their way; counted where they begin, on whichever thread that is. */
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
 
     private final ThrottledWarnings shed;
     private final ReadBarrier barrier;
@@ -78,7 +78,7 @@
      * @param siblings who hold part of the budget, too
      */
     public Transport(Loop loop, int budget, Siblings siblings) {
-        this(loop, budget, siblings, MOST_FACT_AGE);
+        this(loop, budget, siblings, DEFAULT_MAX_INPUT_AGE_MICROS);
     }
 
     /** @param mostFactAge how old what was said may be as something is written that hangs on it, microseconds */
@@ -87,7 +87,7 @@
         channels = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("gorserill.channel");
         table = new SlotTable<>();
         // Clients hold at most a third of all descriptors for requests, and each may need one to a worker.
-        descriptors = new Descriptors(budget, budget * 3 / 5, siblings);
+        descriptors = new DescriptorBudget(budget, budget * 3 / 5, siblings);
         shed = new ThrottledWarnings(loop, LOG, "connections closed for want of descriptors");
         ThreadPoolConfig one = ThreadPoolConfig.defaultConfig()
                 .copy()
@@ -108,7 +108,7 @@
     }
 
     /** The same in all but the budget. */
-    private Transport(Transport other, Descriptors descriptors) {
+    private Transport(Transport other, DescriptorBudget descriptors) {
         loop = other.loop;
         nio = other.nio;
         channels = other.channels;
@@ -123,8 +123,8 @@
      * clients and their jobs may use up the budget for as long as they like, and what a node must reach all
      * the while would find nothing left of it.
      */
-    public Transport apart(int most) {
-        return new Transport(this, new Descriptors(most, most, Siblings.none()));
+    public Transport withSeparateBudget(int most) {
+        return new Transport(this, new DescriptorBudget(most, most, Siblings.none()));
     }
 
     public void start() throws IOException {
@@ -142,10 +142,10 @@
 
     /** A chain of the transport, a codec and the hand-over to the loop. */
     public FilterChain chain(Filter codec) {
-        return chain(codec, new HandOver(loop, channels));
+        return chain(codec, new LoopHandoffFilter(loop, channels));
     }
 
-    private static FilterChain chain(Filter codec, HandOver last) {
+    private static FilterChain chain(Filter codec, LoopHandoffFilter last) {
         return FilterChainBuilder.stateless()
                 .add(new TransportFilter())
                 .add(codec)
@@ -157,38 +157,38 @@
      * The same for connections on which is said what other writes hang on: whatever of it could be read is taken in
      * before these, in however many pieces it came.
      */
-    public FilterChain chainOfFacts(Filter codec) {
-        return chain(codec, HandOver.ofFacts(loop, channels, barrier::moreMayCome));
+    public FilterChain chainForStateUpdates(Filter codec) {
+        return chain(codec, LoopHandoffFilter.forStateUpdates(loop, channels, barrier::expectMoreInput));
     }
 
     /**
      * When something that is read now came, at the earliest, in microseconds of the loop's clock; any thread may ask.
-     * It is the present time unless the process was held up ({@link #noticePauses}).
+     * It is the present time unless the process was held up ({@link #trackProcessPauses}).
      */
-    public long arrival() {
-        return barrier.arrival();
+    public long earliestArrivalMicros() {
+        return barrier.earliestArrivalMicros();
     }
 
-    /** Once it listens, {@link #arrival} allows for pauses of the process. */
-    public void noticePauses() {
+    /** Once it listens, {@link #earliestArrivalMicros} allows for pauses of the process. */
+    public void trackProcessPauses() {
         noticesPauses = true;
     }
 
     private void listening(TCPNIOServerConnection server) {
         if (noticesPauses) {
             noticesPauses = false;
-            barrier.beat(((NIOConnection) server).getSelectorRunner());
+            barrier.startPeriodicPasses(((NIOConnection) server).getSelectorRunner());
         }
     }
 
     /** Listens; each connection accepted gets a peer of its own. */
-    public Listening listen(InetSocketAddress address, Filter codec, Supplier<? extends Peer> peers)
+    public Listener listen(InetSocketAddress address, Filter codec, Supplier<? extends ChannelListener> peers)
             throws IOException {
         return bind(new Accepting(loop, descriptors, peers), codec, address);
     }
 
     /** The same on the socket that the program was started with as its descriptor 0. */
-    public Listening listenOnPassed(Filter codec, Supplier<? extends Peer> peers) throws IOException {
+    public Listener listenOnInherited(Filter codec, Supplier<? extends ChannelListener> peers) throws IOException {
         TCPNIOServerConnection server =
                 binding(new Accepting(loop, descriptors, peers), codec).bindToInherited();
         listening(server);
@@ -206,13 +206,14 @@
      * Listens apart from all else: its connections have so many descriptors of their own, and what comes on
      * them passes before what comes on others.
      */
-    public Listening listenApart(InetSocketAddress address, Filter codec, Supplier<? extends Peer> peers, int most)
+    public Listener listenWithSeparateBudget(
+            InetSocketAddress address, Filter codec, Supplier<? extends ChannelListener> peers, int most)
             throws IOException {
-        Descriptors apart = new Descriptors(most, most, Siblings.none());
+        DescriptorBudget apart = new DescriptorBudget(most, most, Siblings.none());
         return bind(new Accepting(loop::executeFirst, apart, peers), codec, address);
     }
 
-    private Listening bind(Accepting accepting, Filter codec, InetSocketAddress address) throws IOException {
+    private Listener bind(Accepting accepting, Filter codec, InetSocketAddress address) throws IOException {
         TCPNIOServerConnection server = binding(accepting, codec).bind(address, BACKLOG);
         listening(server);
         return () -> onSelector(server, () -> {
@@ -255,7 +256,7 @@
                 .add(new TransportFilter())
                 .add(accepting)
                 .add(codec)
-                .add(new HandOver(accepting.lane, channels))
+                .add(new LoopHandoffFilter(accepting.lane, channels))
                 .build();
         return TCPNIOBindingHandler.builder(nio).processor(chain).build();
     }
@@ -264,8 +265,8 @@
      * Opens a connection; the peer hears {@code opened}, {@code connectFailed}, or {@code noDescriptor} where
      * this process has none left for it.
      */
-    public Connecting connect(InetSocketAddress address, FilterChain chain, Peer peer) {
-        if (!descriptors.open()) {
+    public PendingConnection connect(InetSocketAddress address, FilterChain chain, ChannelListener peer) {
+        if (!descriptors.tryAcquire()) {
             loop.execute(() -> peer.noDescriptor("the budget of descriptors is used up"));
             return () -> {};
         }
@@ -277,17 +278,17 @@
     }
 
     /** Whether connections use so much of the budget that new ones should be turned away. */
-    public boolean crowded() {
-        return descriptors.crowded();
+    public boolean isNearDescriptorLimit() {
+        return descriptors.isNearLimit();
     }
 
     /** Connections up or on their way. */
-    public int connections() {
+    public int connectionCount() {
         return descriptors.inUse();
     }
 
     @SuppressWarnings("unchecked")
-    private Channel channel(Connection<?> opened, Peer peer, Descriptors budget) {
+    private Channel channel(Connection<?> opened, ChannelListener peer, DescriptorBudget budget) {
         Channel channel =
                 new Channel((Connection<Object>) opened, peer, budget, task -> onSelector(opened, task), barrier);
         channels.set(opened, channel);
@@ -312,12 +313,12 @@
     /** Enters accepted connections in the table, before anything is read from them. */
     private final class Accepting extends BaseFilter {
         private final Executor lane;
-        private final Descriptors budget;
-        private final Supplier<? extends Peer> peers;
+        private final DescriptorBudget budget;
+        private final Supplier<? extends ChannelListener> peers;
         /** On the selector's thread alone. */
         private int accepted;
 
-        Accepting(Executor lane, Descriptors budget, Supplier<? extends Peer> peers) {
+        Accepting(Executor lane, DescriptorBudget budget, Supplier<? extends ChannelListener> peers) {
             this.lane = lane;
             this.budget = budget;
             this.peers = peers;
@@ -326,13 +327,13 @@
         @Override
         public NextAction handleAccept(FilterChainContext ctx) {
             accepted++;
-            barrier.moreMayCome();
+            barrier.expectMoreInput();
             Channel channel = channel(ctx.getConnection(), peers.get(), budget);
             // Danger: clients that say nothing must not cut off those that do, nor the node from its workers.
-            Channel least = budget.accepted(channel);
-            register(ctx.getConnection(), channel, lane, budget::acceptedClosed);
+            Channel least = budget.registerAccepted(channel);
+            register(ctx.getConnection(), channel, lane, budget::releaseAccepted);
             if (least != null) {
-                loop.execute(() -> shed.add(least == channel ? "a new one" : "one at rest", least.remote()));
+                loop.execute(() -> shed.add(least == channel ? "a new one" : "one at rest", least.remoteAddress()));
                 least.close();
             }
             return ctx.getInvokeAction();
@@ -345,18 +346,18 @@
             if (channel == null) {
                 return ctx.getInvokeAction();
             }
-            channel.arrived(input.remaining());
-            return channel.discards(input) ? ctx.getStopAction() : ctx.getInvokeAction();
+            channel.bytesRead(input.remaining());
+            return channel.discardIfLingering(input) ? ctx.getStopAction() : ctx.getInvokeAction();
         }
     }
 
     @SuppressWarnings("rawtypes")
-    private final class Pending extends EmptyCompletionHandler<Connection> implements Connecting {
-        private final Peer peer;
+    private final class Pending extends EmptyCompletionHandler<Connection> implements PendingConnection {
+        private final ChannelListener peer;
         private GrizzlyFuture<Connection> future;
         private boolean cancelled;
 
-        Pending(Peer peer) {
+        Pending(ChannelListener peer) {
             this.peer = peer;
         }
 
@@ -369,12 +370,12 @@
 
         @Override
         public void completed(Connection connection) {
-            register(connection, channel(connection, peer, descriptors), loop, channel -> descriptors.closed());
+            register(connection, channel(connection, peer, descriptors), loop, channel -> descriptors.release());
         }
 
         @Override
         public void failed(Throwable cause) {
-            descriptors.closed();
+            descriptors.release();
             loop.execute(() -> {
                 if (cancelled) {
                     return;
@@ -391,7 +392,7 @@
 
         @Override
         public void cancelled() {
-            descriptors.closed();
+            descriptors.release();
         }
     }
 }
--- a/src/test/java/gorserill/program/ClusterRunTest.java
+++ b/src/test/java/gorserill/program/ClusterRunTest.java
@@ -28,7 +28,9 @@
             Files.writeString(
                     folder.resolve("node.json"),
                     new String(text.readAllBytes(), StandardCharsets.UTF_8)
-                            .replace("CLIENTS", "" + ReservedPort.untilExit().getPort())
+                            .replace(
+                                    "CLIENTS",
+                                    "" + ReservedPort.reserveUntilExit().getPort())
                             .replace("OPERATORS", "" + operators)
                             .replace("DISCOVERY", "9")
                             .replace(
@@ -77,8 +79,8 @@
     @Test(timeOut = 30_000)
     public void staffSeeAndChangeTheClusterOnTheCommandLine() throws Exception {
         Path folder = Files.createTempDirectory("cluster");
-        int operators = ReservedPort.untilExit().getPort();
-        int wire = ReservedPort.untilExit().getPort();
+        int operators = ReservedPort.reserveUntilExit().getPort();
+        int wire = ReservedPort.reserveUntilExit().getPort();
         Map<String, String> environment = files(folder, operators, GOOD.formatted(wire, wire, folder));
         Node node = new Node(NodeConfig.read(environment), environment);
         node.start();
--- a/src/test/java/gorserill/program/Fixture.java
+++ b/src/test/java/gorserill/program/Fixture.java
@@ -11,8 +11,8 @@
 
 /** The files and addresses that a node under test is told. */
 final class Fixture {
-    final InetSocketAddress clients = ReservedPort.untilExit();
-    final InetSocketAddress faktory = ReservedPort.untilExit();
+    final InetSocketAddress clients = ReservedPort.reserveUntilExit();
+    final InetSocketAddress faktory = ReservedPort.reserveUntilExit();
     final Map<String, String> environment = new HashMap<>();
     final String faktoryText;
     private final Path folder = Files.createTempDirectory("gorserill");
@@ -75,7 +75,7 @@
 
     /** The node is to listen for operators, too; gives where. */
     InetSocketAddress operators() throws IOException {
-        InetSocketAddress at = ReservedPort.untilExit();
+        InetSocketAddress at = ReservedPort.reserveUntilExit();
         environment.put("NODE_ADMIN_ADDR", text(at));
         return at;
     }
--- a/src/test/java/gorserill/program/FixtureTest.java
+++ b/src/test/java/gorserill/program/FixtureTest.java
@@ -1,6 +1,6 @@
 package gorserill.program;
 
-import gorserill.transport.PortFlood;
+import gorserill.transport.PortOccupier;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -23,7 +23,7 @@
             addresses.addAll(List.of(fixture.clients, fixture.faktory, fixture.operators()));
         }
         List<Closeable> listeners = new ArrayList<>();
-        try (PortFlood flood = new PortFlood()) {
+        try (PortOccupier flood = new PortOccupier()) {
             for (InetSocketAddress address : addresses) {
                 listeners.add(new ServerSocket(address.getPort(), 1, InetAddress.getLoopbackAddress()));
             }
--- a/src/test/java/gorserill/program/ProgramTest.java
+++ b/src/test/java/gorserill/program/ProgramTest.java
@@ -322,7 +322,7 @@
     /** Started with SIGHUP ignored the JVM never hears of it; who waits for a reload must see why. */
     @Test
     public void aNodeThatCantHearSighupSaysSo() throws Exception {
-        Fixture fixture = new Fixture(ReservedPort.untilExit(), "", 15_000, "{}");
+        Fixture fixture = new Fixture(ReservedPort.reserveUntilExit(), "", 15_000, "{}");
         Process program = start(List.of("env", "--ignore-signal=HUP"), fixture, "serve");
         try (BufferedReader log = program.inputReader()) {
             String line = log.readLine();
@@ -510,7 +510,7 @@
     @Test
     public void aFaultyConfigurationEndsItWithTheKeysName() throws Exception {
         Fixture fixture = new Fixture(
-                ReservedPort.untilExit(),
+                ReservedPort.reserveUntilExit(),
                 "",
                 15_000,
                 "{\"enabled\":true,\"listen\":\"LISTEN\",\"queues\":{\"q\":\"nobody\"}}");
@@ -522,7 +522,7 @@
 
     @Test
     public void aWrongCommandLineIsToldTheRightOne() throws Exception {
-        Process program = start(new Fixture(ReservedPort.untilExit(), "", 15_000, "{}"), "dance");
+        Process program = start(new Fixture(ReservedPort.reserveUntilExit(), "", 15_000, "{}"), "dance");
         String log = new String(program.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(end(program), 2);
         assertTrue(log.contains("Unmatched argument at index 0: 'dance'"), log);
@@ -531,7 +531,7 @@
     /** The build's rehearsal of a start: nobody takes the job, so it is refused. */
     @Test
     public void theRehearsalEndsWell() throws Exception {
-        Process program = start(new Fixture(ReservedPort.untilExit(), "", 15_000, "{}"), "rehearse");
+        Process program = start(new Fixture(ReservedPort.reserveUntilExit(), "", 15_000, "{}"), "rehearse");
         String log = new String(program.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(end(program), 0, log);
         assertTrue(log.contains("rehearsed: HTTP/1.1 503 Service Unavailable"), log);
@@ -540,7 +540,7 @@
     /** The adapter starts and answers an empty batch. */
     @Test
     public void theAdapterStarts() throws Exception {
-        Process program = start(new Fixture(ReservedPort.untilExit(), "", 15_000, "{}"), "adapter");
+        Process program = start(new Fixture(ReservedPort.reserveUntilExit(), "", 15_000, "{}"), "adapter");
         byte[] batch = new byte[20];
         batch[0] = 7;
         batch[4] = 12;
--- a/src/test/java/gorserill/program/Scenario.java
+++ b/src/test/java/gorserill/program/Scenario.java
@@ -97,9 +97,9 @@
     /** Opens a listener that the node may connect to. */
     InetSocketAddress standIn(String name) throws IOException {
         // Danger: once it refuses, or while it goes mute, its port must not become another's.
-        ReservedPort port = ReservedPort.take();
+        ReservedPort port = ReservedPort.reserve();
         reserved.add(port);
-        standIns.put(name, new ServerSocket(port.number(), 50, InetAddress.getLoopbackAddress()));
+        standIns.put(name, new ServerSocket(port.port(), 50, InetAddress.getLoopbackAddress()));
         return port.address();
     }
 
--- a/src/test/java/gorserill/protocol/http/ClientLeftTest.java
+++ b/src/test/java/gorserill/protocol/http/ClientLeftTest.java
@@ -21,7 +21,7 @@
 import gorserill.routing.Front;
 import gorserill.routing.Work;
 import gorserill.transport.Channel;
-import gorserill.transport.Peer;
+import gorserill.transport.ChannelListener;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -298,7 +298,7 @@
     public void manyRequestsInPiecesThatWaitForTheLoopAreNotBegun() throws Exception {
         Accepted[] rested = rested(1);
         live.on(() -> {
-            int before = live.transport.connections();
+            int before = live.transport.connectionCount();
             Socket client = client("a-1");
             for (int i = 2; i <= 8; i++) {
                 int seen = reads.count();
@@ -306,7 +306,7 @@
                 LiveCore.await(() -> reads.count() > seen);
             }
             leave(client);
-            LiveCore.await(() -> live.transport.connections() == before);
+            LiveCore.await(() -> live.transport.connectionCount() == before);
             return null;
         });
         assertNothingBegan(rested);
@@ -366,12 +366,12 @@
         client.getOutputStream().write(HttpWriter.ascii("HELLO {\"v\":2}\r\n"));
         awaitText(client, "+OK\r\n");
         live.on(() -> {
-            int before = live.transport.connections();
+            int before = live.transport.connectionCount();
             client.getOutputStream()
                     .write(HttpWriter.ascii("PUSH {\"jid\":\"a-1-of-faktory\","
                             + "\"jobtype\":\"estado\",\"queue\":\"default\",\"args\":[]}\r\n"));
             leave(client);
-            LiveCore.await(() -> live.transport.connections() == before - 1);
+            LiveCore.await(() -> live.transport.connectionCount() == before - 1);
             return null;
         });
         assertNothingBegan(rested);
@@ -449,8 +449,8 @@
         return new Ask(live.loop.now(), 1_800_000, false, 0, 0, 1, 0);
     }
 
-    private static Peer waits(CompletableFuture<Channel> accepted) {
-        return new Peer() {
+    private static ChannelListener waits(CompletableFuture<Channel> accepted) {
+        return new ChannelListener() {
             @Override
             public void opened(Channel channel) {
                 accepted.complete(channel);
@@ -488,7 +488,7 @@
 
             @Override
             public boolean left() {
-                return channel != null && channel.gone();
+                return channel != null && channel.isClosed();
             }
         };
     }
--- a/src/test/java/gorserill/protocol/http/ClosingTest.java
+++ b/src/test/java/gorserill/protocol/http/ClosingTest.java
@@ -179,7 +179,7 @@
             try (Socket first = client(job("a-1"));
                     Socket second = client(job("a-2"))) {
                 live.on(() -> {
-                    live.listening.end();
+                    live.listening.stopAccepting();
                     return null;
                 });
                 reads.release();
--- a/src/test/java/gorserill/protocol/http/ListBeforeSendTest.java
+++ b/src/test/java/gorserill/protocol/http/ListBeforeSendTest.java
@@ -92,7 +92,7 @@
                 new HttpWatch(
                                 live.loop,
                                 live.transport,
-                                live.transport.chainOfFacts(reads),
+                                live.transport.chainForStateUpdates(reads),
                                 discovery.address(0),
                                 new CallPace(1, false, 1),
                                 listing -> hear(live, listing),
--- a/src/test/java/gorserill/protocol/http/LiveCore.java
+++ b/src/test/java/gorserill/protocol/http/LiveCore.java
@@ -49,7 +49,7 @@
     final Core core;
     final MemoryBudget room = new MemoryBudget(1_000_000);
     HttpFront front;
-    Transport.Listening listening;
+    Transport.Listener listening;
     private final HttpWorker.Terms terms;
     private Callable<?> crossing;
     /** Runs right before an attempt at a crossed port starts. */
@@ -110,7 +110,7 @@
                 new Tenants(List.of()),
                 new Gate(loop, 0, terms.complaints()),
                 room));
-        InetSocketAddress at = ReservedPort.untilExit();
+        InetSocketAddress at = ReservedPort.reserveUntilExit();
         listening = transport.listen(at, codec, front::accept);
         return at;
     }
--- a/src/test/java/gorserill/protocol/http/ReuseTest.java
+++ b/src/test/java/gorserill/protocol/http/ReuseTest.java
@@ -115,10 +115,10 @@
     @Test
     public void aJobDoesNotGoOutOnAConnectionThatTheWorkerHasJustEnded() throws Exception {
         Accepted at = used();
-        int before = live.transport.connections();
+        int before = live.transport.connectionCount();
         live.on(() -> live.onStart = () -> {
             at.socket().close();
-            LiveCore.await(() -> live.transport.connections() == before - 1);
+            LiveCore.await(() -> live.transport.connectionCount() == before - 1);
             live.onStart = () -> null;
             return null;
         });
--- a/src/test/java/gorserill/protocol/http/WriteGateTest.java
+++ b/src/test/java/gorserill/protocol/http/WriteGateTest.java
@@ -214,13 +214,13 @@
             assertTrue(at.head().contains("X-Txn: a-0\r\n"));
             at.serve();
             assertEquals(answer.get(5, TimeUnit.SECONDS), "served");
-            int before = live.transport.connections();
+            int before = live.transport.connectionCount();
             live.on(() -> {
                 try (Socket client = new Socket(front.getAddress(), front.getPort())) {
-                    LiveCore.await(() -> live.transport.connections() == before + 1);
+                    LiveCore.await(() -> live.transport.connectionCount() == before + 1);
                     client.getOutputStream().write(LiveCore.job("a-1"));
                 }
-                LiveCore.await(() -> live.transport.connections() == before);
+                LiveCore.await(() -> live.transport.connectionCount() == before);
                 return null;
             });
             CompletableFuture<String> next = new CompletableFuture<>();
--- a/src/test/java/gorserill/transport/DescriptorsTest.java
+++ b/src/test/java/gorserill/transport/DescriptorBudgetTest.java
@@ -11,23 +11,23 @@
 import org.testng.annotations.Test;
 
 /** Two processes of a node, one budget. */
-public class DescriptorsTest {
+public class DescriptorBudgetTest {
     @Test
     public void whatAnotherProcessHoldsIsNotLeftHere() throws Exception {
         Path folder = Files.createTempDirectory("descriptors");
         Loop loop = new Loop(e -> {});
-        Descriptors old = new Descriptors(16, 9, Siblings.join(loop, folder, "node", 2));
+        DescriptorBudget old = new DescriptorBudget(16, 9, Siblings.join(loop, folder, "node", 2));
         for (int i = 0; i < 5; i++) {
-            assertTrue(old.open());
+            assertTrue(old.tryAcquire());
         }
-        Descriptors next = new Descriptors(16, 9, Siblings.join(loop, folder, "node", 2));
+        DescriptorBudget next = new DescriptorBudget(16, 9, Siblings.join(loop, folder, "node", 2));
         for (int i = 0; i < 9; i++) {
-            assertTrue(next.open(), "16 less 5 and the other's own 2, at " + i);
+            assertTrue(next.tryAcquire(), "16 less 5 and the other's own 2, at " + i);
         }
-        assertFalse(next.open());
-        assertTrue(next.crowded());
-        old.closed();
-        assertTrue(next.open());
+        assertFalse(next.tryAcquire());
+        assertTrue(next.isNearLimit());
+        old.release();
+        assertTrue(next.tryAcquire());
         assertEquals(next.inUse(), 10);
     }
 }
--- a/src/test/java/gorserill/transport/PortFlood.java
+++ b/src/test/java/gorserill/transport/PortOccupier.java
@@ -10,12 +10,12 @@
 import java.util.List;
 
 /** Takes ports of every kind that the system gives out: listeners', datagrams' and outgoing connections'. */
-public final class PortFlood implements Closeable {
+public final class PortOccupier implements Closeable {
     private static final int OF_EACH_KIND = 800;
 
     private final List<Closeable> open = new ArrayList<>();
 
-    public PortFlood() throws IOException {
+    public PortOccupier() throws IOException {
         InetAddress here = InetAddress.getLoopbackAddress();
         ServerSocket to = opened(new ServerSocket(0, OF_EACH_KIND, here));
         for (int i = 0; i < OF_EACH_KIND; i++) {
--- a/src/test/java/gorserill/transport/ReservedPortTest.java
+++ b/src/test/java/gorserill/transport/ReservedPortTest.java
@@ -44,26 +44,26 @@
         List<ReservedPort> reserved = new ArrayList<>();
         Set<Integer> numbers = new HashSet<>();
         for (int i = 0; i < RESERVED; i++) {
-            reserved.add(opened(ReservedPort.take()));
-            numbers.add(reserved.get(i).number());
+            reserved.add(opened(ReservedPort.reserve()));
+            numbers.add(reserved.get(i).port());
         }
         assertEquals(numbers.size(), RESERVED, "each is reserved once");
-        opened(new PortFlood());
+        opened(new PortOccupier());
         for (ReservedPort port : reserved) {
-            opened(new ServerSocket(port.number(), 1, HERE));
-            opened(new DatagramSocket(port.number(), HERE));
+            opened(new ServerSocket(port.port(), 1, HERE));
+            opened(new DatagramSocket(port.port(), HERE));
         }
     }
 
     /** A node that ends leaves its port to the one after it, not to whoever comes first. */
     @Test
     public void aPortStaysReservedBetweenTwoListeners() throws IOException {
-        ReservedPort port = opened(ReservedPort.take());
+        ReservedPort port = opened(ReservedPort.reserve());
         for (int i = 0; i < 3; i++) {
-            assertThrows(ConnectException.class, () -> new Socket(HERE, port.number()).close());
-            assertThrows(BindException.class, () -> alone(port.number()));
-            try (ServerSocket listener = new ServerSocket(port.number(), 1, HERE);
-                    Socket client = new Socket(HERE, port.number());
+            assertThrows(ConnectException.class, () -> new Socket(HERE, port.port()).close());
+            assertThrows(BindException.class, () -> alone(port.port()));
+            try (ServerSocket listener = new ServerSocket(port.port(), 1, HERE);
+                    Socket client = new Socket(HERE, port.port());
                     Socket accepted = listener.accept()) {
                 assertEquals(accepted.getPort(), client.getLocalPort());
             }
