--- a/src/main/java/barrowflow/Choice.java
+++ b/src/main/java/barrowflow/Choice.java
@@ -107,7 +107,9 @@
         state.advanceClock(now);
         LoadSources may = settings.loadSources();
         gossip = !may.peers() ? null : new Gossip(settings.dispatchers(), may.peerPrice(), (int) random.nextLong());
-        probeRateLimiter = may.probes() && may.reportsOnlyByProbe() ? new ProbeRateLimiter(settings.dispatchers(), may.probePrice()) : null;
+        probeRateLimiter = may.probes() && may.reportsOnlyByProbe()
+                ? new ProbeRateLimiter(settings.dispatchers(), may.probePrice())
+                : null;
         // Danger: dispatchers whose periods align swing together, so the seed spreads their phase.
         nextPeriodAt = now + 1 + random.nextLong(period);
         actions.timerAt(nextPeriodAt);
@@ -389,7 +391,9 @@
      * many slots a kind of worker has they do not tell, and who has just begun would offer one of each.
      */
     private void sendProbes(long now) {
-        int due = probeRateLimiter == null ? 0 : probeRateLimiter.takeDueProbes(now, markets.size(), tenantShares.jobsPerSecond());
+        int due = probeRateLimiter == null
+                ? 0
+                : probeRateLimiter.takeDueProbes(now, markets.size(), tenantShares.jobsPerSecond());
         for (WorkerMarket s : state.leastRecentlyProbed(due, peersHeard())) {
             s.probedAt = now;
             actions.probe(s.worker.id());
--- a/src/main/java/gorserill/protocol/http/HttpFrontend.java
+++ b/src/main/java/gorserill/protocol/http/HttpFrontend.java
@@ -19,7 +19,7 @@
 import gorserill.routing.RequestOptions;
 import gorserill.routing.ResponseHandler;
 import gorserill.transport.Channel;
-import gorserill.transport.Peer;
+import gorserill.transport.ChannelListener;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -66,7 +66,12 @@
      * @param room in which the codec keeps bodies; freed here when a request is over
      */
     public HttpFrontend(
-            Loop loop, Core core, Map<String, JobClassInfo> classes, Tenants tenants, ContractGate gate, MemoryBudget room) {
+            Loop loop,
+            Core core,
+            Map<String, JobClassInfo> classes,
+            Tenants tenants,
+            ContractGate gate,
+            MemoryBudget room) {
         this.loop = loop;
         this.core = core;
         this.classes = classes;
@@ -77,7 +82,7 @@
     }
 
     /** A peer for a connection just accepted. */
-    public Peer accept() {
+    public ChannelListener accept() {
         return new Client();
     }
 
@@ -109,7 +114,7 @@
         return clients.isEmpty();
     }
 
-    private final class Client implements Peer, ResponseHandler {
+    private final class Client implements ChannelListener, ResponseHandler {
         private final Deque<HttpRequest> waiting = new ArrayDeque<>();
         private Channel channel;
         private HttpRequest current;
@@ -135,7 +140,7 @@
                 loop.cancel(deadline);
                 deadline = loop.at(loop.now() + BRIEF, this::late);
             } else if (current == null && !ending && waiting.isEmpty()) {
-                channel.closeAtRest();
+                channel.closeIfIdle();
             }
         }
 
@@ -145,7 +150,7 @@
             for (Object message : (List<Object>) messages) {
                 if (ending) {
                     room.release(message instanceof HttpRequest late ? late.body().length : 0);
-                } else if (message == BEGUN) {
+                } else if (message == PARTIAL_MESSAGE) {
                     begun();
                 } else if (message instanceof HttpException broken) {
                     cutOff(broken.status(), broken.getMessage());
@@ -173,7 +178,7 @@
             if (begun || !proven) {
                 reject(408, "no whole request in time");
             } else {
-                channel.closeAtRest();
+                channel.closeIfIdle();
             }
         }
 
@@ -260,7 +265,7 @@
         /** What its contract does not let in is told so, and may go on: it speaks HTTP well enough. */
         private void turnAway(Problem problem) {
             complaints.add(
-                    Integer.toString(problem.status()), "connection " + channel.number() + ": " + problem.line());
+                    Integer.toString(problem.status()), "connection " + channel.tableIndex() + ": " + problem.line());
             respond(
                     HttpMessageBuilder.response(problem.status())
                             .header("Content-Type", Problem.MEDIA_TYPE)
@@ -352,12 +357,12 @@
         @Override
         public boolean clientLeft() {
             // Danger: a close is seen behind what is still to be read.
-            return channel.gone() || channel.behind();
+            return channel.isClosed() || channel.isReadLagging();
         }
 
         /** Turns away what can't be used, and whoever sent it: such clients hold connections for long. */
         private void reject(int status, String why) {
-            complaints.add(Integer.toString(status), "connection " + channel.number() + ": " + why);
+            complaints.add(Integer.toString(status), "connection " + channel.tableIndex() + ": " + why);
             forgetAll();
             // Under a contract all that is turned away hears so in one form.
             lastWord(HttpMessageBuilder.response(status)
@@ -397,9 +402,9 @@
                 if (!waiting.isEmpty()) {
                     loop.execute(this::next);
                 } else if (proven) {
-                    channel.resting();
+                    channel.markIdle();
                 } else {
-                    channel.unproven();
+                    channel.markUnproven();
                 }
             }
         }
--- a/src/main/java/gorserill/protocol/peers/PeerPort.java
+++ b/src/main/java/gorserill/protocol/peers/PeerPort.java
@@ -2,7 +2,7 @@
 
 import gorserill.common.Loop;
 import gorserill.common.ThrottledWarnings;
-import gorserill.transport.Datagrams;
+import gorserill.transport.DatagramTransport;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -28,7 +28,7 @@
             InetSocketAddress listen, InetSocketAddress broadcast, List<InetSocketAddress> nodes, int self) {}
 
     private final Addresses addresses;
-    private final Datagrams datagrams;
+    private final DatagramTransport datagrams;
     private final ThrottledWarnings complaints;
     private final BiConsumer<Integer, byte[]> heard;
     private long sent;
@@ -42,7 +42,7 @@
         this.addresses = addresses;
         this.heard = heard;
         complaints = new ThrottledWarnings(loop, LOG, "messages of other nodes dropped");
-        datagrams = new Datagrams(loop, addresses.listen(), MAX_MESSAGE_BYTES + 1, this::arrived);
+        datagrams = new DatagramTransport(loop, addresses.listen(), MAX_MESSAGE_BYTES + 1, this::arrived);
     }
 
     private void arrived(InetSocketAddress from, byte[] message) {
--- a/src/test/java/barrowflow/SharesTest.java
+++ b/src/test/java/barrowflow/SharesTest.java
@@ -32,7 +32,8 @@
                 }
                 if (told) {
                     byte[] message = gossip.get(n)
-                            .nextMessage(new long[0], new double[0], shares.get(n).jobsPerSecondByTenant());
+                            .nextMessage(
+                                    new long[0], new double[0], shares.get(n).jobsPerSecondByTenant());
                     for (int other = 0; other < nodes; other++) {
                         if (other != n) {
                             gossip.get(other).receive(now, n, message);
