--- a/src/main/java/gorserill/common/Deadlines.java
+++ b/src/main/java/gorserill/common/Deadlines.java
@@ -3,9 +3,9 @@
 import java.util.Comparator;
 import java.util.TreeSet;
 
-/** Every deadline of the node in the order of time; those of one time as they were set. */
+/** Deadlines in order of time; deadlines of the same time keep the order in which they were set. */
 public final class Deadlines {
-    /** One thing to do at a time. */
+    /** An action scheduled for a time. */
     public static final class Deadline {
         private final long time;
         private final long order;
@@ -20,27 +20,27 @@
 
     private final TreeSet<Deadline> pending =
             new TreeSet<>(Comparator.<Deadline>comparingLong(d -> d.time).thenComparingLong(d -> d.order));
-    private long orders;
+    private long nextOrder;
 
     public Deadline at(long time, Runnable action) {
-        Deadline deadline = new Deadline(time, orders++, action);
+        Deadline deadline = new Deadline(time, nextOrder++, action);
         pending.add(deadline);
         return deadline;
     }
 
-    /** Takes a deadline back; one that has passed, or null, is no matter. */
+    /** Cancels a deadline; does nothing if it is null or has passed. */
     public void cancel(Deadline deadline) {
         if (deadline != null) {
             pending.remove(deadline);
         }
     }
 
-    /** The next time at which something is due, or Long.MAX_VALUE. */
+    /** The time of the earliest deadline, or Long.MAX_VALUE if there is none. */
     public long next() {
         return pending.isEmpty() ? Long.MAX_VALUE : pending.first().time;
     }
 
-    /** Takes out the first action that is due, or gives null. */
+    /** Removes and returns the earliest action that is due, or returns null. */
     public Runnable pollDue(long now) {
         return next() > now ? null : pending.pollFirst().action;
     }
--- a/src/main/java/gorserill/common/Loop.java
+++ b/src/main/java/gorserill/common/Loop.java
@@ -11,66 +11,68 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one thread that owns the core, the decision module and the clock. Other threads hand it events with
- * {@link #execute}; all else here is for the loop's own thread.
+ * The event loop: the single thread that owns the core, the decision module and the clock. Other threads pass it
+ * events with {@link #execute}; all other methods are for the loop's own thread unless stated otherwise.
  */
 public final class Loop implements Executor {
-    /** The clock starts here, so that times before the start of the program are times, too. */
-    private static final long START = TimeUnit.DAYS.toMicros(1);
+    /** Initial value of the clock, so that times before the start of the process are positive as well. */
+    private static final long ORIGIN_MICROS = TimeUnit.DAYS.toMicros(1);
 
-    /** A deadline that is so late passes before what has come in: a flood must not hold up every deadline. */
-    private static final long OVERDUE = 100_000;
+    /**
+     * A deadline overdue by more than this many microseconds runs before queued events, so that a flood of events
+     * can't delay all deadlines.
+     */
+    private static final long OVERDUE_MICROS = 100_000;
 
-    /** A thread that goes on so much later than it asked to was held up. */
-    private static final long PAUSE = 200_000;
+    /** If the loop resumes this many microseconds after its next deadline, it counts as a pause of the process. */
+    private static final long PAUSE_MICROS = 200_000;
 
-    private static final Runnable NOTHING = () -> {};
+    private static final Runnable NO_OP = () -> {};
 
-    private final Queue<Runnable> first = new ConcurrentLinkedQueue<>();
+    private final Queue<Runnable> priorityEvents = new ConcurrentLinkedQueue<>();
     private final LinkedBlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
     private final Deadlines deadlines = new Deadlines();
-    private final Consumer<Throwable> failed;
+    private final Consumer<Throwable> errorHandler;
     private final LongSupplier nanos;
     private final long nanosAtStart;
     private final long unixAtStart = System.currentTimeMillis();
     private final Thread thread;
     private volatile boolean stopped;
-    private LongConsumer onPause = length -> {};
+    private LongConsumer pauseListener = length -> {};
     private long pauses;
     private long longestPauseMicros;
-    /** The pause at hand was told of up to this time. */
-    private long toldUntil;
+    /** Time up to which the current pause was reported, in microseconds. */
+    private long reportedUntil;
 
-    /** @param failed is told what an event or deadline threw; the loop then goes on */
-    public Loop(Consumer<Throwable> failed) {
-        this(failed, System::nanoTime);
+    /** @param errorHandler receives what an event or deadline threw; the loop then continues */
+    public Loop(Consumer<Throwable> errorHandler) {
+        this(errorHandler, System::nanoTime);
     }
 
-    /** @param nanos the clock, in nanoseconds from any moment on */
-    public Loop(Consumer<Throwable> failed, LongSupplier nanos) {
-        this(failed, nanos, "core");
+    /** @param nanos the clock, in nanoseconds from an arbitrary origin */
+    public Loop(Consumer<Throwable> errorHandler, LongSupplier nanos) {
+        this(errorHandler, nanos, "core");
     }
 
-    /** @param name the thread's, for a loop beside the core's that owns something else */
-    public Loop(Consumer<Throwable> failed, LongSupplier nanos, String name) {
+    /** @param name name of the thread, for a loop other than the core's */
+    public Loop(Consumer<Throwable> errorHandler, LongSupplier nanos, String name) {
         thread = new Thread(this::run, name);
-        this.failed = failed;
+        this.errorHandler = errorHandler;
         this.nanos = nanos;
         nanosAtStart = nanos.getAsLong();
     }
 
-    /** Is told, on the loop's thread, how long the process was held up, in microseconds. */
-    public Loop onPause(LongConsumer told) {
-        onPause = told;
+    /** Sets the listener that is called on the loop's thread with the length of each pause, in microseconds. */
+    public Loop onPause(LongConsumer listener) {
+        pauseListener = listener;
         return this;
     }
 
-    /** How often the loop went on much later than it had to. */
+    /** Number of pauses: how often the loop resumed much later than its next deadline. */
     public long pauses() {
         return pauses;
     }
 
-    /** Microseconds. */
     public long longestPauseMicros() {
         return longestPauseMicros;
     }
@@ -81,20 +83,20 @@
 
     public void stop() {
         stopped = true;
-        execute(NOTHING);
+        execute(NO_OP);
     }
 
-    /** Microseconds of a clock that only goes forward; any thread may ask. */
+    /** The time in microseconds on a monotonic clock; may be called from any thread. */
     public long now() {
-        return START + (nanos.getAsLong() - nanosAtStart) / 1_000;
+        return ORIGIN_MICROS + (nanos.getAsLong() - nanosAtStart) / 1_000;
     }
 
     /**
-     * A moment of Unix time on this clock, the same for the same moment whenever asked; 0 for long ago. A
-     * worker's start must not shift between two lists, or it would look like a restart.
+     * Converts Unix time to this clock; 0 for times long ago. The result for one time never changes: a worker's start
+     * time that differed between two lists would look like a restart.
      */
     public long fromUnixMillis(long millis) {
-        return millis <= 0 ? 0 : Math.max(0, START + (millis - unixAtStart) * 1_000);
+        return millis <= 0 ? 0 : Math.max(0, ORIGIN_MICROS + (millis - unixAtStart) * 1_000);
     }
 
     @Override
@@ -102,11 +104,11 @@
         events.add(event);
     }
 
-    /** Like {@link #execute}, but before all that waits there; in order among each other. */
+    /** Like {@link #execute}, but ahead of all events queued there. Events passed here keep their order. */
     public void executeFirst(Runnable event) {
-        first.add(event);
-        // The loop may be asleep.
-        events.add(NOTHING);
+        priorityEvents.add(event);
+        // Wakes the loop, which may be waiting for events.
+        events.add(NO_OP);
     }
 
     public Deadline at(long time, Runnable action) {
@@ -117,10 +119,10 @@
         deadlines.cancel(deadline);
     }
 
-    /** Runs what has come in and what is due on the caller's thread, for a loop that is not started. */
+    /** Runs queued events and due deadlines on the caller's thread, for a loop that was not started. */
     public void runDue() {
         for (Runnable event = next(); event != null; event = next()) {
-            guarded(event);
+            runGuarded(event);
         }
     }
 
@@ -132,7 +134,7 @@
                     event = events.poll(Math.max(0, deadlines.next() - now()), TimeUnit.MICROSECONDS);
                 }
                 if (event != null) {
-                    guarded(event);
+                    runGuarded(event);
                 }
             } catch (InterruptedException e) {
                 return;
@@ -140,33 +142,36 @@
         }
     }
 
-    /** Deadlines are the only thing whose time is known beforehand: one that is overdue shows a pause. */
-    private void noticePause(long now) {
-        long due = Math.max(deadlines.next(), toldUntil);
-        if (now - due > PAUSE) {
+    /** Detects pauses of the process by overdue deadlines, the only events whose time is known in advance. */
+    private void detectPause(long now) {
+        long dueAt = Math.max(deadlines.next(), reportedUntil);
+        if (now - dueAt > PAUSE_MICROS) {
             pauses++;
-            longestPauseMicros = Math.max(longestPauseMicros, now - due);
-            toldUntil = now;
-            onPause.accept(now - due);
+            longestPauseMicros = Math.max(longestPauseMicros, now - dueAt);
+            reportedUntil = now;
+            pauseListener.accept(now - dueAt);
         }
     }
 
-    /** What has come in goes first: an answer that is here beats the deadline of the same moment. */
+    /**
+     * Returns the next action. Queued events run before deadlines, so that a response that has arrived takes
+     * precedence over a deadline of the same time.
+     */
     private Runnable next() {
         long now = now();
-        noticePause(now);
-        Runnable event = first.poll();
-        if (event == null && deadlines.next() > now - OVERDUE) {
+        detectPause(now);
+        Runnable event = priorityEvents.poll();
+        if (event == null && deadlines.next() > now - OVERDUE_MICROS) {
             event = events.poll();
         }
         return event != null ? event : deadlines.pollDue(now);
     }
 
-    private void guarded(Runnable event) {
+    private void runGuarded(Runnable event) {
         try {
             event.run();
         } catch (RuntimeException | StackOverflowError e) {
-            failed.accept(e);
+            errorHandler.accept(e);
         }
     }
 }
--- a/src/main/java/gorserill/common/MemoryBudget.java
+++ b/src/main/java/gorserill/common/MemoryBudget.java
@@ -3,21 +3,21 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A budget of memory for what clients send, of all connections together. Danger: a body within its limit on each
- * of hundreds of connections is more than a small heap holds. Any thread may call it.
+ * Memory budget for data received from clients, shared by all connections. Bodies within the limit per body could, on
+ * hundreds of connections, exceed a small heap. Thread-safe.
  */
 public final class MemoryBudget {
-    private final long most;
+    private final long limit;
     private final AtomicLong used = new AtomicLong();
 
-    /** @param most bytes */
-    public MemoryBudget(long most) {
-        this.most = most;
+    /** @param limit bytes */
+    public MemoryBudget(long limit) {
+        this.limit = limit;
     }
 
-    /** Takes so many bytes; false, and nothing taken, where there is no room. */
+    /** Reserves memory; returns false and reserves nothing if the budget is exhausted. */
     public boolean tryReserve(long bytes) {
-        if (used.addAndGet(bytes) <= most) {
+        if (used.addAndGet(bytes) <= limit) {
             return true;
         }
         used.addAndGet(-bytes);
--- a/src/main/java/gorserill/common/SiblingProcesses.java
+++ b/src/main/java/gorserill/common/SiblingProcesses.java
@@ -13,66 +13,67 @@
 import java.util.Map;
 
 /**
- * What the processes of one node that run beside each other tell each other: how many descriptors each holds,
- * and which requests are open there. Each has a place of its own, a mapped file whose lock lasts as long as
- * the process. Descriptors may be told from any thread; all else is for the loop's.
+ * Shared state of the processes of one node that run at the same time, as during an upgrade: how many descriptors
+ * each process holds and which requests are open in it. Each process owns a slot, a mapped file whose lock lasts as
+ * long as the process. {@link #reportConnections} and {@link #descriptorsElsewhere} may be called from any thread,
+ * all else on the loop's thread only.
  */
 public final class SiblingProcesses {
-    /** An old process, its successor, and one more that died on the way. */
-    private static final int PLACES = 3;
-    /** Open requests told of; those beyond are not. */
-    private static final int IDS = 1_023;
+    /** An old process, its successor, and one more that died during a handover. */
+    private static final int MAX_PROCESSES = 3;
+    /** Open requests that are published; further ones are not. */
+    private static final int MAX_REQUEST_IDS = 1_023;
 
-    private static final long LOOK_AGAIN = 250_000;
+    private static final long REFRESH_MICROS = 250_000;
 
     private final Loop loop;
-    private final List<Path> places = new ArrayList<>();
-    private final int descriptorsOfItsOwn;
-    private final Map<String, Integer> open = new HashMap<>();
-    private final List<Integer> free = new ArrayList<>();
-    private int mine = -1;
-    private LongBuffer told;
+    private final List<Path> slotFiles = new ArrayList<>();
+    private final int reservedDescriptors;
+    private final Map<String, Integer> openEntries = new HashMap<>();
+    private final List<Integer> freeEntries = new ArrayList<>();
+    private int ownSlot = -1;
+    private LongBuffer ownBuffer;
     /** Held until the process ends. */
-    private FileLock held;
+    private FileLock ownLock;
 
-    private volatile List<LongBuffer> others = List.of();
-    /** What each other place showed when it was last looked at; null where nobody holds it. */
-    private final LongBuffer[] seen = new LongBuffer[PLACES];
+    private volatile List<LongBuffer> otherBuffers = List.of();
+    /** The buffer of each other slot as of the last refresh; null if no process owns the slot. */
+    private final LongBuffer[] lastSeen = new LongBuffer[MAX_PROCESSES];
 
-    private SiblingProcesses(Loop loop, int descriptorsOfItsOwn) {
+    private SiblingProcesses(Loop loop, int reservedDescriptors) {
         this.loop = loop;
-        this.descriptorsOfItsOwn = descriptorsOfItsOwn;
+        this.reservedDescriptors = reservedDescriptors;
     }
 
-    /** A process that runs alone for good. */
+    /** For a process that never has siblings. */
     public static SiblingProcesses none() {
         return new SiblingProcesses(null, 0);
     }
 
     /**
-     * Takes a place among the node's processes.
+     * Takes a slot among the processes of the node.
      *
-     * @param descriptorsOfItsOwn those that a process needs besides its connections
+     * @param reservedDescriptors descriptors that a process needs in addition to its connections
      */
-    public static SiblingProcesses join(Loop loop, Path folder, String key, int descriptorsOfItsOwn)
+    public static SiblingProcesses join(Loop loop, Path folder, String key, int reservedDescriptors)
             throws IOException {
-        SiblingProcesses siblings = new SiblingProcesses(loop, descriptorsOfItsOwn);
-        for (int place = 0; place < PLACES; place++) {
-            siblings.places.add(folder.resolve(key + "." + place));
+        SiblingProcesses siblings = new SiblingProcesses(loop, reservedDescriptors);
+        for (int slot = 0; slot < MAX_PROCESSES; slot++) {
+            siblings.slotFiles.add(folder.resolve(key + "." + slot));
         }
-        for (int place = 0; place < PLACES && siblings.mine < 0; place++) {
-            siblings.take(place);
+        for (int slot = 0; slot < MAX_PROCESSES && siblings.ownSlot < 0; slot++) {
+            siblings.tryTakeSlot(slot);
         }
-        if (siblings.mine < 0) {
-            throw new IOException("all " + PLACES + " places are taken");
+        if (siblings.ownSlot < 0) {
+            throw new IOException("all " + MAX_PROCESSES + " process slots of the node are taken");
         }
         siblings.reportConnections(0);
-        siblings.look();
+        siblings.refresh();
         return siblings;
     }
 
-    private static FileChannel channel(Path place) throws IOException {
-        return FileChannel.open(place, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
+    private static FileChannel channel(Path file) throws IOException {
+        return FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
     }
 
     private static FileLock lock(FileChannel channel) throws IOException {
@@ -84,97 +85,97 @@
     }
 
     private static LongBuffer map(FileChannel channel) throws IOException {
-        return channel.map(FileChannel.MapMode.READ_WRITE, 0, (1 + IDS) * Long.BYTES)
+        return channel.map(FileChannel.MapMode.READ_WRITE, 0, (1 + MAX_REQUEST_IDS) * Long.BYTES)
                 .asLongBuffer();
     }
 
-    private void take(int place) throws IOException {
-        FileChannel channel = channel(places.get(place));
-        held = lock(channel);
-        if (held == null) {
+    private void tryTakeSlot(int slot) throws IOException {
+        FileChannel channel = channel(slotFiles.get(slot));
+        ownLock = lock(channel);
+        if (ownLock == null) {
             channel.close();
             return;
         }
-        mine = place;
-        told = map(channel);
-        for (int i = 0; i <= IDS; i++) {
-            // Danger: whoever had the place before is dead, and what it told holds no more.
-            told.put(i, 0);
+        ownSlot = slot;
+        ownBuffer = map(channel);
+        for (int i = 0; i <= MAX_REQUEST_IDS; i++) {
+            // The previous owner of the slot has ended, so its entries are no longer valid.
+            ownBuffer.put(i, 0);
         }
-        for (int i = IDS; i > 0; i--) {
-            free.add(i);
+        for (int i = MAX_REQUEST_IDS; i > 0; i--) {
+            freeEntries.add(i);
         }
     }
 
-    /** Sees who else runs, again and again. */
-    private void look() {
-        for (int place = 0; place < places.size(); place++) {
-            if (place != mine) {
-                try (FileChannel channel = channel(places.get(place));
-                        FileLock theirs = lock(channel)) {
-                    seen[place] = theirs == null ? map(channel) : null;
+    /** Detects periodically which other processes are alive. */
+    private void refresh() {
+        for (int slot = 0; slot < slotFiles.size(); slot++) {
+            if (slot != ownSlot) {
+                try (FileChannel channel = channel(slotFiles.get(slot));
+                        FileLock otherLock = lock(channel)) {
+                    lastSeen[slot] = otherLock == null ? map(channel) : null;
                 } catch (IOException e) {
-                    // Danger: a process out of descriptors can't open a place. Taking whoever holds it for
-                    // gone would take ids that are open there; what was seen last holds until it can look.
+                    // A process out of descriptors can't open the file. The last known state is kept until it can,
+                    // because treating a live process as gone would accept requests whose ids are open there.
                 }
             }
         }
         List<LongBuffer> alive = new ArrayList<>();
-        for (LongBuffer other : seen) {
+        for (LongBuffer other : lastSeen) {
             if (other != null) {
                 alive.add(other);
             }
         }
-        others = List.copyOf(alive);
-        loop.at(loop.now() + LOOK_AGAIN, this::look);
+        otherBuffers = List.copyOf(alive);
+        loop.at(loop.now() + REFRESH_MICROS, this::refresh);
     }
 
     public boolean isAlone() {
-        return others.isEmpty();
+        return otherBuffers.isEmpty();
     }
 
-    /** This process holds so many connections; any thread may tell. */
+    /** Publishes how many connections this process holds; may be called from any thread. */
     public void reportConnections(int connections) {
-        if (told != null) {
-            told.put(0, connections + descriptorsOfItsOwn);
+        if (ownBuffer != null) {
+            ownBuffer.put(0, connections + reservedDescriptors);
         }
     }
 
-    /** How many descriptors other processes hold or need; any thread may ask. */
+    /** Descriptors that other processes hold or need; may be called from any thread. */
     public int descriptorsElsewhere() {
         int sum = 0;
-        for (LongBuffer other : others) {
+        for (LongBuffer other : otherBuffers) {
             sum += (int) other.get(0);
         }
         return sum;
     }
 
-    /** A request is open here from now on. */
+    /** Publishes a request that is open in this process. */
     public void requestOpened(String id) {
-        if (told != null && !free.isEmpty()) {
-            int slot = free.remove(free.size() - 1);
-            open.put(id, slot);
-            told.put(slot, hash(id));
+        if (ownBuffer != null && !freeEntries.isEmpty()) {
+            int entry = freeEntries.remove(freeEntries.size() - 1);
+            openEntries.put(id, entry);
+            ownBuffer.put(entry, hash(id));
         }
     }
 
-    /** A request is open here no more. */
+    /** Removes a request that is no longer open in this process. */
     public void requestClosed(String id) {
-        Integer slot = open.remove(id);
-        if (slot != null) {
-            told.put(slot, 0);
-            free.add(slot);
+        Integer entry = openEntries.remove(id);
+        if (entry != null) {
+            ownBuffer.put(entry, 0);
+            freeEntries.add(entry);
         }
     }
 
-    /** Whether a request of that id is open at another process. */
+    /** Whether a request of this id is open in another process. */
     public boolean isOpenElsewhere(String id) {
-        if (others.isEmpty()) {
+        if (otherBuffers.isEmpty()) {
             return false;
         }
         long hash = hash(id);
-        for (LongBuffer other : others) {
-            for (int i = 1; i <= IDS; i++) {
+        for (LongBuffer other : otherBuffers) {
+            for (int i = 1; i <= MAX_REQUEST_IDS; i++) {
                 if (other.get(i) == hash) {
                     return true;
                 }
@@ -183,7 +184,7 @@
         return false;
     }
 
-    /** FNV-1a, of 64 bits; never 0. */
+    /** 64-bit FNV-1a; never 0, which marks an unused entry. */
     private static long hash(String id) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < id.length(); i++) {
--- a/src/main/java/gorserill/common/SlotTable.java
+++ b/src/main/java/gorserill/common/SlotTable.java
@@ -5,65 +5,65 @@
 import java.util.function.Consumer;
 
 /**
- * A table of numbered slots. A handle names a slot and how often it was used, so that a handle kept past
- * its time finds nothing instead of the slot's next tenant. Not thread-safe; handles stay below 2^52.
+ * A table of values in numbered slots. A handle contains the slot number and the slot's use count, so that a stale
+ * handle finds nothing instead of the value that reuses its slot. Not thread-safe; handles stay below 2^52.
  */
 public final class SlotTable<T> {
     private static final int SLOT_BITS = 20;
-    private static final int SLOTS = 1 << SLOT_BITS;
+    private static final int MAX_SLOTS = 1 << SLOT_BITS;
 
-    private final List<T> tenants = new ArrayList<>();
-    private final List<Integer> uses = new ArrayList<>();
+    private final List<T> values = new ArrayList<>();
+    private final List<Integer> useCounts = new ArrayList<>();
     private final List<Integer> free = new ArrayList<>();
     private int size;
 
-    /** Takes a free slot, the one freed last first; gives its handle, which is never 0. */
-    public long add(T tenant) {
+    /** Adds a value in the most recently freed slot; returns its handle, which is never 0. */
+    public long add(T value) {
         int slot;
         if (free.isEmpty()) {
-            slot = tenants.size();
-            if (slot == SLOTS) {
-                throw new IllegalStateException("the table is full");
+            slot = values.size();
+            if (slot == MAX_SLOTS) {
+                throw new IllegalStateException("slot table is full");
             }
-            tenants.add(tenant);
-            uses.add(1);
+            values.add(value);
+            useCounts.add(1);
         } else {
             slot = free.remove(free.size() - 1);
-            tenants.set(slot, tenant);
-            uses.set(slot, uses.get(slot) + 1);
+            values.set(slot, value);
+            useCounts.set(slot, useCounts.get(slot) + 1);
         }
         size++;
-        return (long) uses.get(slot) << SLOT_BITS | slot;
+        return (long) useCounts.get(slot) << SLOT_BITS | slot;
     }
 
-    /** The tenant of a handle, or null when it has left. */
+    /** The value of a handle, or null if it was removed. */
     public T get(long handle) {
-        int slot = (int) handle & SLOTS - 1;
-        return slot < tenants.size() && uses.get(slot) == handle >>> SLOT_BITS ? tenants.get(slot) : null;
+        int slot = (int) handle & MAX_SLOTS - 1;
+        return slot < values.size() && useCounts.get(slot) == handle >>> SLOT_BITS ? values.get(slot) : null;
     }
 
-    /** Frees the slot; gives the tenant that left, or null when it had left before. */
+    /** Removes and returns the value of a handle, or returns null if it was removed before. */
     public T remove(long handle) {
-        T tenant = get(handle);
-        if (tenant != null) {
-            int slot = (int) handle & SLOTS - 1;
-            tenants.set(slot, null);
+        T value = get(handle);
+        if (value != null) {
+            int slot = (int) handle & MAX_SLOTS - 1;
+            values.set(slot, null);
             free.add(slot);
             size--;
         }
-        return tenant;
+        return value;
     }
 
     public int size() {
         return size;
     }
 
-    /** Visits every tenant; the visitor may remove the one that it is given. */
+    /** Visits every value; the visitor may remove the value that it is given. */
     public void forEach(Consumer<T> visitor) {
-        for (int slot = 0; slot < tenants.size(); slot++) {
-            T tenant = tenants.get(slot);
-            if (tenant != null) {
-                visitor.accept(tenant);
+        for (int slot = 0; slot < values.size(); slot++) {
+            T value = values.get(slot);
+            if (value != null) {
+                visitor.accept(value);
             }
         }
     }
--- a/src/main/java/gorserill/common/ThrottledWarnings.java
+++ b/src/main/java/gorserill/common/ThrottledWarnings.java
@@ -6,48 +6,51 @@
 import java.util.logging.Logger;
 
 /**
- * Warnings of one kind that may come in floods: the first few of a period are logged one by one, the rest
- * counted by reason and told in one line. Danger: a line for each would cost more than what it complains of.
- * For the loop's thread.
+ * Rate-limited warnings of one kind: the first few in a period are logged individually, the others are counted by
+ * reason and summarized in one line. In a flood, one line each would cost more than the events that it reports. For
+ * the loop's thread.
  */
 public final class ThrottledWarnings {
-    /** So many are told one by one in a period of so many microseconds. */
+    /** Warnings that are logged individually in each period. */
     static final int MAX_LINES_PER_PERIOD = 5;
 
     static final long PERIOD_MICROS = 10_000_000;
 
     private final Loop loop;
     private final Logger log;
-    private final String what;
-    private final Map<String, Integer> counted = new TreeMap<>();
-    private int told;
+    private final String subject;
+    private final Map<String, Integer> suppressed = new TreeMap<>();
+    private int count;
 
-    /** @param what it is about, as the start of each line */
-    public ThrottledWarnings(Loop loop, Logger log, String what) {
+    /** @param subject what the warnings are about; each line starts with it */
+    public ThrottledWarnings(Loop loop, Logger log, String subject) {
         this.loop = loop;
         this.log = log;
-        this.what = what;
+        this.subject = subject;
     }
 
-    /** @param reason one of a few; the details are told only while there are not many */
+    /**
+     * @param reason one of a small set, by which warnings are counted
+     * @param details logged only while the warning is not throttled
+     */
     public void add(String reason, String details) {
-        if (told == 0) {
-            loop.at(loop.now() + PERIOD_MICROS, this::sum);
+        if (count == 0) {
+            loop.at(loop.now() + PERIOD_MICROS, this::logSummary);
         }
-        if (++told <= MAX_LINES_PER_PERIOD) {
-            log.log(Level.WARNING, "{0}: {1}: {2}", new Object[] {what, reason, details});
+        if (++count <= MAX_LINES_PER_PERIOD) {
+            log.log(Level.WARNING, "{0}: {1}: {2}", new Object[] {subject, reason, details});
         } else {
-            counted.merge(reason, 1, Integer::sum);
+            suppressed.merge(reason, 1, Integer::sum);
         }
     }
 
-    private void sum() {
-        if (!counted.isEmpty()) {
+    private void logSummary() {
+        if (!suppressed.isEmpty()) {
             log.log(Level.WARNING, "{0}: in 10 s {1} more: {2}", new Object[] {
-                what, told - MAX_LINES_PER_PERIOD, counted
+                subject, count - MAX_LINES_PER_PERIOD, suppressed
             });
         }
-        told = 0;
-        counted.clear();
+        count = 0;
+        suppressed.clear();
     }
 }
--- a/src/test/java/gorserill/common/SiblingProcessesTest.java
+++ b/src/test/java/gorserill/common/SiblingProcessesTest.java
@@ -13,54 +13,54 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What the processes of one node know of each other. */
+/** Tests the state that the processes of one node share. */
 public class SiblingProcessesTest {
-    private static final int OWN = 64;
+    private static final int RESERVED = 64;
 
     private final long[] nanos = new long[1];
     private final Loop loop = new Loop(e -> {}, () -> nanos[0]);
     private Path folder;
 
     @BeforeMethod
-    public void anew() throws IOException {
+    public void createFolder() throws IOException {
         folder = Files.createTempDirectory("siblings");
     }
 
     private SiblingProcesses join() throws IOException {
-        return SiblingProcesses.join(loop, folder, "node", OWN);
+        return SiblingProcesses.join(loop, folder, "node", RESERVED);
     }
 
-    /** Lets each look who else is there. */
-    private void look() {
+    /** Runs the periodic refresh of each process. */
+    private void refresh() {
         nanos[0] += 300_000_000L;
         loop.runDue();
     }
 
     @Test
-    public void eachSeesWhatTheOtherHolds() throws IOException {
+    public void eachProcessSeesTheStateOfTheOther() throws IOException {
         SiblingProcesses first = join();
         assertTrue(first.isAlone());
         assertEquals(first.descriptorsElsewhere(), 0);
         first.reportConnections(7);
         first.requestOpened("a-1");
         SiblingProcesses second = join();
-        assertEquals(second.descriptorsElsewhere(), 7 + OWN);
+        assertEquals(second.descriptorsElsewhere(), 7 + RESERVED);
         assertTrue(second.isOpenElsewhere("a-1"));
         assertFalse(second.isOpenElsewhere("a-2"));
-        look();
+        refresh();
         assertFalse(first.isAlone());
-        assertEquals(first.descriptorsElsewhere(), OWN);
+        assertEquals(first.descriptorsElsewhere(), RESERVED);
         second.reportConnections(3);
         second.requestOpened("a-2");
-        assertEquals(first.descriptorsElsewhere(), 3 + OWN);
+        assertEquals(first.descriptorsElsewhere(), 3 + RESERVED);
         assertTrue(first.isOpenElsewhere("a-2"));
-        assertFalse(first.isOpenElsewhere("a-1"), "it is its own");
+        assertFalse(first.isOpenElsewhere("a-1"), "the request is open in the same process");
         first.requestClosed("a-1");
         assertFalse(second.isOpenElsewhere("a-1"));
     }
 
     @Test
-    public void moreOpenRequestsThanThereIsRoomForDoNoHarm() throws IOException {
+    public void requestsBeyondTheTableAreIgnored() throws IOException {
         SiblingProcesses first = join();
         for (int i = 0; i < 1_500; i++) {
             first.requestOpened("a-" + i);
@@ -76,49 +76,49 @@
         assertFalse(second.isOpenElsewhere("a-1022"));
     }
 
-    /** Danger: what a dead process has left would use up the limits for good. */
+    /** Entries left by a dead process must not count, or they would permanently use up the limits. */
     @Test
-    public void whatTheDeadLeaveCountsForNothing() throws IOException {
+    public void stateOfDeadProcessesIsIgnored() throws IOException {
         byte[] remains = new byte[8_192];
         Arrays.fill(remains, (byte) 1);
-        for (String place : List.of("node.0", "node.1", "node.2")) {
-            Files.write(folder.resolve(place), remains);
+        for (String file : List.of("node.0", "node.1", "node.2")) {
+            Files.write(folder.resolve(file), remains);
         }
         SiblingProcesses first = join();
         assertTrue(first.isAlone());
         assertEquals(first.descriptorsElsewhere(), 0);
         SiblingProcesses second = join();
-        assertEquals(second.descriptorsElsewhere(), OWN);
+        assertEquals(second.descriptorsElsewhere(), RESERVED);
         assertFalse(second.isOpenElsewhere("a-1"));
     }
 
     /**
-     * Danger: a process out of descriptors can't open a sibling's place; if it took that sibling for gone it
-     * would take an id that is open there, and a job that must run once could run twice.
+     * A process out of descriptors can't open the slot file of a sibling. If it treated that sibling as gone, it
+     * would accept a request id that is open there, and a job that must run once could run twice.
      */
     @Test
-    public void aSiblingThatCantBeSeenForAWhileStillCounts() throws IOException {
+    public void siblingWithUnreadableFileStillCounts() throws IOException {
         SiblingProcesses first = join();
         first.reportConnections(5);
         first.requestOpened("a-1");
         SiblingProcesses second = join();
-        Path place = folder.resolve("node.0");
+        Path file = folder.resolve("node.0");
         Path away = folder.resolve("node.0.away");
-        Files.move(place, away);
-        Files.createDirectory(place);
-        look();
-        assertTrue(second.isOpenElsewhere("a-1"), "a sibling that can't be seen was taken for gone");
-        assertEquals(second.descriptorsElsewhere(), 5 + OWN);
-        Files.delete(place);
-        Files.move(away, place);
+        Files.move(file, away);
+        Files.createDirectory(file);
+        refresh();
+        assertTrue(second.isOpenElsewhere("a-1"), "a live sibling whose file cannot be opened was treated as gone");
+        assertEquals(second.descriptorsElsewhere(), 5 + RESERVED);
+        Files.delete(file);
+        Files.move(away, file);
         first.requestClosed("a-1");
-        look();
+        refresh();
         assertFalse(second.isOpenElsewhere("a-1"));
         assertFalse(second.isAlone());
     }
 
     @Test
-    public void thereIsNoFourthPlace() throws IOException {
+    public void aFourthProcessIsRejected() throws IOException {
         for (int i = 0; i < 3; i++) {
             join();
         }
--- a/src/test/java/gorserill/common/TablesTest.java
+++ b/src/test/java/gorserill/common/TablesTest.java
@@ -11,11 +11,11 @@
 import org.testng.Assert;
 import org.testng.annotations.Test;
 
-/** Slots, deadlines and the loop's clock. */
+/** Tests the slot table, deadlines and the loop's clock. */
 public class TablesTest {
 
     @Test
-    public void aHandleKeptPastItsTimeFindsNothing() {
+    public void staleHandleFindsNothing() {
         SlotTable<String> table = new SlotTable<>();
         long first = table.add("a");
         assertEquals(table.remove(first), "a");
@@ -29,7 +29,7 @@
     }
 
     @Test
-    public void deadlinesComeInTheOrderOfTimeAndCanBeTakenBack() {
+    public void deadlinesRunInOrderAndCanBeCancelled() {
         Deadlines deadlines = new Deadlines();
         List<String> done = new ArrayList<>();
         deadlines.at(20, () -> done.add("late"));
@@ -46,11 +46,11 @@
         assertEquals(deadlines.next(), Long.MAX_VALUE);
     }
 
-    /** Danger: one bad event must not end the node and all other requests with it. */
+    /** A failing event must not stop the node and thereby all other requests. */
     @Test
     public void anEventThatThrowsDoesNotEndTheLoop() throws InterruptedException {
-        List<Throwable> told = new ArrayList<>();
-        Loop loop = new Loop(told::add);
+        List<Throwable> errors = new ArrayList<>();
+        Loop loop = new Loop(errors::add);
         CountDownLatch after = new CountDownLatch(2);
         loop.start();
         loop.execute(() -> {
@@ -60,12 +60,12 @@
         loop.execute(() -> loop.at(loop.now() + 1_000, after::countDown));
         Assert.assertTrue(after.await(5, TimeUnit.SECONDS));
         loop.stop();
-        assertEquals(told.get(0).getMessage(), "bad");
+        assertEquals(errors.get(0).getMessage(), "bad");
     }
 
-    /** Danger: a worker's start that shifts between two lists looks like a restart. */
+    /** A worker's start time that changes between two lists would look like a restart. */
     @Test
-    public void unixTimesStayWhereTheyAreOnTheLoopsClock() {
+    public void unixTimeConversionIsStable() {
         Loop loop = new Loop(e -> {});
         long unix = System.currentTimeMillis() - 3_000;
         long first = loop.fromUnixMillis(unix);
--- a/src/test/java/gorserill/common/ThrottledWarningsTest.java
+++ b/src/test/java/gorserill/common/ThrottledWarningsTest.java
@@ -11,12 +11,12 @@
 import java.util.logging.SimpleFormatter;
 import org.testng.annotations.Test;
 
-/** What the log is spared under a flood of one complaint. */
+/** Tests the rate limit of warnings. */
 public class ThrottledWarningsTest {
 
-    /** A flood costs a few lines and a sum; the next period starts anew. */
+    /** A flood costs a few lines and a summary; the next period starts anew. */
     @Test
-    public void aFloodIsCountedNotTold() {
+    public void floodIsSummarized() {
         long[] nanos = new long[1];
         Loop loop = new Loop(
                 e -> {
@@ -39,16 +39,16 @@
             @Override
             public void close() {}
         });
-        ThrottledWarnings complaints = new ThrottledWarnings(loop, log, "clients");
+        ThrottledWarnings warnings = new ThrottledWarnings(loop, log, "clients");
         for (int i = 0; i < 400; i++) {
-            complaints.add(i % 2 == 0 ? "400" : "404", "no. " + i);
+            warnings.add(i % 2 == 0 ? "400" : "404", "no. " + i);
         }
         assertEquals(lines.size(), ThrottledWarnings.MAX_LINES_PER_PERIOD);
         nanos[0] += ThrottledWarnings.PERIOD_MICROS * 1_000;
         loop.runDue();
         assertEquals(
                 lines.get(ThrottledWarnings.MAX_LINES_PER_PERIOD), "clients: in 10 s 395 more: {400=197, 404=198}");
-        complaints.add("408", "again");
+        warnings.add("408", "again");
         assertEquals(lines.get(ThrottledWarnings.MAX_LINES_PER_PERIOD + 1), "clients: 408: again");
         nanos[0] += ThrottledWarnings.PERIOD_MICROS * 1_000;
         loop.runDue();
