--- a/src/main/java/gorserill/protocol/ClientFrontend.java
+++ b/src/main/java/gorserill/protocol/ClientFrontend.java
@@ -1,19 +1,25 @@
 package gorserill.protocol;
 
-/** What the node's start, draining and end ask of each front; called on the loop's thread. */
+/**
+ * Operations of a client-facing frontend that the node uses at start, while draining and at shutdown. Called on the
+ * loop's thread.
+ */
 public interface ClientFrontend {
-    /** From now on the front takes so much. Connections on which nothing is open stay as they are. */
-    void setIntakeMode(IntakeMode intake);
+    /** Sets which jobs are accepted. Connections without an open request stay as they are. */
+    void setIntakeMode(IntakeMode mode);
 
-    /** Ends the connections of clients on which no request is open or begun; begun ones get little time. */
+    /**
+     * Closes client connections without an open or partly received request; partly received requests get a short time
+     * to complete.
+     */
     void closeIdle();
 
-    /** Whether no client is connected any more. */
+    /** Whether no client is connected. */
     boolean hasNoClients();
 
-    /** Whether the node says that clients may be sent to it. */
-    void advertiseReady(boolean clients);
+    /** Sets whether the node advertises that clients may be sent to it. */
+    void advertiseReady(boolean ready);
 
-    /** The node is about to end: whoever works for it is told so. */
+    /** Notifies connected workers, where the protocol provides for it, that the node is about to end. */
     void announceShutdown();
 }
--- a/src/main/java/gorserill/protocol/ClientWaitTracker.java
+++ b/src/main/java/gorserill/protocol/ClientWaitTracker.java
@@ -3,34 +3,37 @@
 import java.util.Arrays;
 
 /**
- * How long the clients of one class usually wait, by what the last jobs of it brought. A client that comes
- * again has waited already and brings less; so does one that never waits long. Where nothing marks a repeat
- * the two can't be told apart, so less than usual makes a job doubtful and no more than that.
+ * Tracks how long the clients of one class usually wait, from the waiting times of recent jobs. A client that retries
+ * has used up part of its time and states less; so does a client with a short timeout. Without a retry mark the two
+ * can't be distinguished, so a shorter time than usual only makes a job a possible retry.
  *
- * <p>Danger: the longest ever seen would do for one odd client that waits longer than all others, and make
- * everybody else doubtful for good.
+ * <p>The usual time is a quantile rather than the maximum, because a single client with a longer timeout than all
+ * others would make every other request a possible retry permanently.
  */
 public final class ClientWaitTracker {
-    private static final int LAST = 64;
-    /** Of the last jobs as many as this part may be repeats, and the usual time still be a first try's. */
-    private static final double REPEATS = 0.8;
+    private static final int SAMPLES = 64;
+    /**
+     * Quantile of the recent waiting times that counts as usual: up to this share of recent jobs may be retries
+     * without lowering the usual time to theirs.
+     */
+    private static final double USUAL_QUANTILE = 0.8;
 
     private static final int SORT_EVERY = 16;
-    /** The way from the client takes some of it, microseconds. */
-    private static final long WAY = 100_000;
+    /** Allowance for the transmission from the client. */
+    private static final long TRANSIT_MICROS = 100_000;
 
-    private final long[] last = new long[LAST];
+    private final long[] samples = new long[SAMPLES];
     private int count;
-    private long usual;
+    private long usualWait;
 
-    /** Takes note of how long a client waits, in microseconds; true where that is less than usual. */
+    /** Records how long a client waits, in microseconds; returns true if that is shorter than usual. */
     public boolean isShorterThanUsual(long wait) {
-        last[count++ % LAST] = wait;
+        samples[count++ % SAMPLES] = wait;
         if (count % SORT_EVERY == 0 || count < SORT_EVERY) {
-            long[] sorted = Arrays.copyOf(last, Math.min(count, LAST));
+            long[] sorted = Arrays.copyOf(samples, Math.min(count, SAMPLES));
             Arrays.sort(sorted);
-            usual = sorted[(int) (REPEATS * (sorted.length - 1) + 0.5)];
+            usualWait = sorted[(int) (USUAL_QUANTILE * (sorted.length - 1) + 0.5)];
         }
-        return wait + WAY < usual;
+        return wait + TRANSIT_MICROS < usualWait;
     }
 }
--- a/src/main/java/gorserill/protocol/ContractGate.java
+++ b/src/main/java/gorserill/protocol/ContractGate.java
@@ -15,43 +15,43 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** Where a front holds its requests against its contract, and what binds those that it lets in. */
+/** Checks the requests of a frontend against its contract and keeps the contract version of each accepted request. */
 public final class ContractGate {
     private final Loop loop;
     private final Versions versions;
-    private final ThrottledWarnings complaints;
+    private final ThrottledWarnings warnings;
 
     /**
-     * @param repeatsFor how long a version of the contract knows its repeats after its end, microseconds
-     * @param complaints hears of workers' answers that are not as described
+     * @param repeatWindow how long a contract version still recognizes retries after it was replaced, in microseconds
+     * @param warnings receives workers' responses that violate the contract
      */
-    public ContractGate(Loop loop, long repeatsFor, ThrottledWarnings complaints) {
+    public ContractGate(Loop loop, long repeatWindow, ThrottledWarnings warnings) {
         this.loop = loop;
-        this.complaints = complaints;
-        versions = new Versions(repeatsFor);
+        this.warnings = warnings;
+        versions = new Versions(repeatWindow);
     }
 
-    /** Whether there is a contract. */
+    /** Whether a contract is in force. */
     public boolean hasContract() {
         return versions.current() != null;
     }
 
-    /** From now on this contract decides on what comes; null for none. Gives whether that is a change. */
+    /** Puts a contract in force; null for none. Returns whether that is a change. */
     public boolean replace(Contract contract) {
         return versions.replace(contract, loop.now());
     }
 
-    /** The version in force and those still needed, newest first. */
+    /** The version in force and older versions still in use, newest first. */
     public List<Version> retainedVersions() {
         return versions.kept();
     }
 
-    /** A line for each version, the one in force first. */
-    public String describe(String front) {
+    /** Describes each version on a line of its own, the one in force first. */
+    public String describe(String frontend) {
         StringBuilder text = new StringBuilder();
         for (Version version : versions.kept()) {
             Contract contract = version.contract();
-            text.append(front)
+            text.append(frontend)
                     .append(" version ")
                     .append(version.number())
                     .append(version == versions.current() ? " in force" : " old")
@@ -72,27 +72,30 @@
                             .append(count));
             text.append('\n');
         }
-        return text.length() == 0 ? front + " no contract\n" : text.toString();
+        return text.length() == 0 ? frontend + " no contract\n" : text.toString();
     }
 
-    /** Decides on a request; only where there is a contract. */
-    public Admission admit(boolean mayRepeat, Function<Contract, Verdict> decide) {
-        return versions.admit(loop.now(), mayRepeat, decide);
+    /** Checks a request; must be called only if a contract is in force. */
+    public Admission admit(boolean mayBeRetry, Function<Contract, Verdict> decide) {
+        return versions.admit(loop.now(), mayBeRetry, decide);
     }
 
-    /** What binds a request that was let in; to be given to the core at once. */
+    /** Binds an accepted request to its contract version; the result must be passed to the core immediately. */
     public JobContract bind(Admission admission, String id) {
         versions.taken(admission);
-        return new Held(admission.version(), admission.verdict(), id);
+        return new AdmittedJobContract(admission.version(), admission.verdict(), id);
     }
 
-    /** Keeps the version that a request was taken under, whatever is put in force while it is open. */
-    private final class Held implements JobContract {
+    /**
+     * The contract version under which a request was accepted, even if another version is put in force while the
+     * request is open.
+     */
+    private final class AdmittedJobContract implements JobContract {
         private final Version version;
         private final Verdict verdict;
         private final String id;
 
-        Held(Version version, Verdict verdict, String id) {
+        AdmittedJobContract(Version version, Verdict verdict, String id) {
             this.version = version;
             this.verdict = verdict;
             this.id = id;
@@ -112,7 +115,7 @@
                 return true;
             }
             version.answeredBadly();
-            complaints.add(operation.id(), "request " + id + ": " + fault);
+            warnings.add(operation.id(), "request " + id + ": " + fault);
             return answers != Answers.ENFORCE;
         }
 
--- a/src/main/java/gorserill/protocol/IntakeMode.java
+++ b/src/main/java/gorserill/protocol/IntakeMode.java
@@ -1,11 +1,11 @@
 package gorserill.protocol;
 
-/** What a front takes of its clients; see {@link ClientFrontend#setIntakeMode}. */
+/** Which jobs a client frontend accepts; see {@link ClientFrontend#setIntakeMode}. */
 public enum IntakeMode {
-    /** All there is. */
+    /** All jobs. */
     OPEN,
-    /** One more job on each connection: its answer is the last there. */
+    /** One more job on each connection, which is closed after the response. */
     ONE_MORE_PER_CONNECTION,
-    /** Nothing: jobs are refused, and the answer is the last on its connection. */
+    /** No jobs: each is refused, and its connection is closed after the response. */
     CLOSED
 }
--- a/src/main/java/gorserill/protocol/JobClassInfo.java
+++ b/src/main/java/gorserill/protocol/JobClassInfo.java
@@ -1,11 +1,11 @@
 package gorserill.protocol;
 
 /**
- * What a front is told of a class of jobs.
+ * Properties of a job class that client frontends need.
  *
- * @param index its place in the settings' list
- * @param deadline how long a client waits at the most, microseconds
- * @param keyed whether its jobs carry a key that workers tell repeats by
+ * @param index index of the class in the settings
+ * @param deadline longest time that a client waits, in microseconds
+ * @param keyed whether its jobs carry a key by which workers detect repeats
  * @param unsafe whether its jobs must never run twice
  */
 public record JobClassInfo(int index, long deadline, boolean keyed, boolean unsafe) {}
--- a/src/main/java/gorserill/protocol/Tenants.java
+++ b/src/main/java/gorserill/protocol/Tenants.java
@@ -7,45 +7,46 @@
 import java.util.logging.Logger;
 
 /**
- * The tenants that the settings name, for both fronts. Whoever is none of them, or says nothing, is one of
- * the rest, which has no share: its jobs take only what is left over, and so it is no way round the shares.
- * What is kept does not grow with the names that clients think up.
+ * The tenants listed in the settings, for both client frontends. Requests that name none of them, or no tenant at
+ * all, belong to a common group without a share: their jobs use only capacity left over, so omitting the name does
+ * not bypass the shares. Memory use does not grow with the names that clients send.
  */
 public final class Tenants {
     private static final Logger LOG = Logger.getLogger(Tenants.class.getName());
-    /** The place of whoever the settings do not name. */
+    /** Index of tenants that the settings do not list. */
     public static final int UNLISTED = -1;
 
-    private final Map<String, Integer> places = new HashMap<>();
-    private boolean toldMissing;
-    private boolean toldUnknown;
+    private final Map<String, Integer> indexes = new HashMap<>();
+    private boolean warnedMissing;
+    private boolean warnedUnknown;
 
-    /** @param names as in the settings; none where the deployment has no tenants */
+    /** @param names as in the settings; empty if the deployment has no tenants */
     public Tenants(List<String> names) {
         for (String name : names) {
-            places.putIfAbsent(name, places.size());
+            indexes.putIfAbsent(name, indexes.size());
         }
     }
 
-    /** The place among the settings' tenants of what a request says, or {@link #UNLISTED}. */
-    public int indexOf(String said) {
-        if (places.isEmpty()) {
+    /** The index in the settings of the tenant that a request names, or {@link #UNLISTED}. */
+    public int indexOf(String tenant) {
+        if (indexes.isEmpty()) {
             return 0;
         }
-        // Settings have no spaces and commas in values; names are compared as they stand there.
-        Integer place = said == null ? null : places.get(said.replace(' ', '_').replace(',', '_'));
-        if (place != null) {
-            return place;
+        // Values in the settings contain no spaces or commas, so names are normalized before the lookup.
+        Integer index =
+                tenant == null ? null : indexes.get(tenant.replace(' ', '_').replace(',', '_'));
+        if (index != null) {
+            return index;
         }
-        if (said == null && !toldMissing) {
-            toldMissing = true;
+        if (tenant == null && !warnedMissing) {
+            warnedMissing = true;
             LOG.log(Level.WARNING, "a job names no tenant; such jobs take only what is left over");
-        } else if (said != null && !toldUnknown) {
-            toldUnknown = true;
+        } else if (tenant != null && !warnedUnknown) {
+            warnedUnknown = true;
             LOG.log(
                     Level.WARNING,
                     "a job names a tenant that the settings do not: {0}; such jobs take only " + "what is left over",
-                    said.length() > 64 ? said.substring(0, 64) : said);
+                    tenant.length() > 64 ? tenant.substring(0, 64) : tenant);
         }
         return UNLISTED;
     }
--- a/src/main/java/gorserill/protocol/admin/AdminFrontend.java
+++ b/src/main/java/gorserill/protocol/admin/AdminFrontend.java
@@ -13,127 +13,128 @@
 import java.util.logging.Logger;
 
 /**
- * The operators' front, at the second address: a connection carries one call, a line, and its answer, a line
- * that starts with {@code ok} or {@code fail}, or the figures. Whoever says nothing, or no whole line, hears
- * so within a second.
+ * Serves operators' commands on the admin address. A connection carries one command line and its reply: a line that
+ * starts with {@code ok} or {@code fail}, or the requested figures. A client that sends no complete line gets a
+ * failure reply within a second.
  */
 public final class AdminFrontend {
     private static final Logger LOG = Logger.getLogger(AdminFrontend.class.getName());
     private static final String OK = "ok\n";
-    /** A call must be whole so long after connecting; answers are due within a second. */
-    private static final long WHOLE_CALL = 600_000;
-    /** So long a connection stays open for its caller to read the answer. */
-    private static final long LINGER = 200_000;
+    /** Time from connecting to a complete line; replies are due within one second. */
+    private static final long CALL_TIMEOUT_MICROS = 600_000;
+    /** How long a connection stays open for its client to read the reply. */
+    private static final long LINGER_MICROS = 200_000;
 
-    /** Something that operators can ask for. */
+    /** A command that operators can give. */
     @FunctionalInterface
     public interface Call {
         /**
-         * Carries it out.
+         * Runs the command.
          *
-         * @param about whom the call names; empty where it names nobody
-         * @return the answer's lines
+         * @param argument what the command applies to; empty if it names nothing
+         * @return the lines of the reply
          */
-        String answer(String about);
+        String answer(String argument);
 
         /**
-         * The same for what takes its time: the answer may come later, on the loop's thread, within a second
+         * Runs a command that may take longer: the reply may be given later, on the loop's thread, within one second
          * of the call.
          */
-        default void answer(String about, Consumer<String> to) {
-            to.accept(answer(about));
+        default void answer(String argument, Consumer<String> callback) {
+            callback.accept(answer(argument));
         }
     }
 
-    /** Something that is carried out elsewhere, whose answer comes later. */
+    /** A command that is carried out elsewhere and replies later. */
     public record DeferredCall(BiConsumer<String, Consumer<String>> action) implements Call {
         @Override
-        public String answer(String about) {
-            throw new UnsupportedOperationException("its answer comes later");
+        public String answer(String argument) {
+            throw new UnsupportedOperationException("the reply is given asynchronously");
         }
 
         @Override
-        public void answer(String about, Consumer<String> to) {
-            action.accept(about, to);
+        public void answer(String argument, Consumer<String> callback) {
+            action.accept(argument, callback);
         }
     }
 
     private final Loop loop;
     private final Map<String, Call> calls;
-    private final ThrottledWarnings complaints;
+    private final ThrottledWarnings warnings;
 
-    /** @param calls by name */
+    /** @param calls commands by name */
     public AdminFrontend(Loop loop, Map<String, Call> calls) {
         this.loop = loop;
         this.calls = Map.copyOf(calls);
-        complaints = new ThrottledWarnings(loop, LOG, "operators' calls");
+        warnings = new ThrottledWarnings(loop, LOG, "operators' calls");
     }
 
-    /** The answer to a call that was carried out, or cannot be. */
-    public static String reply(boolean done, String whyNot) {
-        return done ? OK : fail(whyNot);
+    /** Formats the reply to a command that succeeded or failed. */
+    public static String reply(boolean done, String reason) {
+        return done ? OK : fail(reason);
     }
 
-    private static String fail(String why) {
-        return "fail " + why + "\n";
+    private static String fail(String reason) {
+        return "fail " + reason + "\n";
     }
 
-    /** A peer for a connection just accepted. */
+    /** Creates the peer of a connection that was just accepted. */
     public ChannelListener accept() {
-        return new Caller();
+        return new OperatorPeer();
     }
 
-    private final class Caller implements ChannelListener {
+    private final class OperatorPeer implements ChannelListener {
         private Channel channel;
         private Deadline deadline;
-        private boolean answered;
+        private boolean replied;
 
         @Override
         public void opened(Channel opened) {
             channel = opened;
-            deadline = loop.at(loop.now() + WHOLE_CALL, () -> turnAway("no whole line in time"));
+            deadline = loop.at(loop.now() + CALL_TIMEOUT_MICROS, () -> reject("no whole line in time"));
         }
 
         @Override
         @SuppressWarnings("unchecked")
         public void received(Object messages) {
             Object first = ((List<Object>) messages).get(0);
-            if (answered) {
+            if (replied) {
                 return;
             }
             if (first == LineCodec.TOO_LONG) {
-                turnAway("a line of more than " + LineCodec.MAX_LINE + " bytes");
+                reject("a line of more than " + LineCodec.MAX_LINE_BYTES + " bytes");
                 return;
             }
             String[] words = ((String) first).split("\\s+", 2);
             Call call = calls.get(words[0]);
             if (call == null) {
-                turnAway("no such call");
+                reject("no such call");
             } else {
-                // It was a whole call: from here on the deadline is the answer's.
+                // The line is complete, so its deadline no longer applies; the command is responsible for replying in
+                // time.
                 loop.cancel(deadline);
-                call.answer(words.length < 2 ? "" : words[1], this::answer);
+                call.answer(words.length < 2 ? "" : words[1], this::sendReply);
             }
         }
 
-        private void turnAway(String why) {
-            complaints.add(why, channel.remoteAddress());
-            answer(fail(why));
+        private void reject(String reason) {
+            warnings.add(reason, channel.remoteAddress());
+            sendReply(fail(reason));
         }
 
-        private void answer(String text) {
-            if (answered) {
+        private void sendReply(String text) {
+            if (replied) {
                 return;
             }
-            answered = true;
+            replied = true;
             loop.cancel(deadline);
             channel.writeAndLinger(text.getBytes(StandardCharsets.UTF_8));
-            deadline = loop.at(loop.now() + LINGER, channel::close);
+            deadline = loop.at(loop.now() + LINGER_MICROS, channel::close);
         }
 
         @Override
         public void closed() {
-            answered = true;
+            replied = true;
             loop.cancel(deadline);
         }
     }
--- a/src/main/java/gorserill/protocol/admin/LineCodec.java
+++ b/src/main/java/gorserill/protocol/admin/LineCodec.java
@@ -14,20 +14,20 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /**
- * Lines as a filter. Upwards go lists of {@code String}s, without their ends, or {@link #TOO_LONG}, after
- * which nothing comes. Downwards it takes {@code byte[]}.
+ * Filter that splits input into lines. Passes up lists of {@code String}s without line ends, or {@link #TOO_LONG},
+ * after which the rest of the input is discarded. Accepts {@code byte[]} for writing.
  */
 public final class LineCodec extends BaseFilter {
-    /** In place of a line that is longer than any call. */
+    /** Passed up instead of a line longer than {@link #MAX_LINE_BYTES}. */
     static final Object TOO_LONG = new Object();
-    /** The longest line, in bytes. */
-    static final int MAX_LINE = 1_024;
+    /** Longest line, without its end. */
+    static final int MAX_LINE_BYTES = 1_024;
 
     private final Attribute<State> states = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("gorserill.admin");
 
     private static final class State {
         final ByteArrayOutputStream line = new ByteArrayOutputStream();
-        boolean broken;
+        boolean discarding;
     }
 
     @Override
@@ -46,13 +46,13 @@
     }
 
     private static void decode(State state, ByteBuffer in, List<Object> out) {
-        while (in.hasRemaining() && !state.broken) {
+        while (in.hasRemaining() && !state.discarding) {
             byte b = in.get();
             if (b == '\n') {
                 out.add(state.line.toString(StandardCharsets.UTF_8).strip());
                 state.line.reset();
-            } else if (state.line.size() == MAX_LINE) {
-                state.broken = true;
+            } else if (state.line.size() == MAX_LINE_BYTES) {
+                state.discarding = true;
                 out.add(TOO_LONG);
             } else {
                 state.line.write(b);
--- a/src/main/java/gorserill/protocol/discovery/CallPace.java
+++ b/src/main/java/gorserill/protocol/discovery/CallPace.java
@@ -3,153 +3,172 @@
 import java.util.SplittableRandom;
 
 /**
- * How a node calls discovery so that the calls of all nodes together stay within what one service bears. It
- * serves calls in turn, and each takes the time of some lines and of those that it answers; a call that waits
- * too long fails, and whoever fails asks again. Danger: whole lists for a fleet that starts at once, or waits
- * that end empty at all nodes together, keep it busy with what teaches nobody anything.
+ * Schedules a node's calls to discovery so that the calls of all nodes together stay within what one service can
+ * handle. The service handles calls in sequence; each costs a fixed time plus a time per list line returned. A call
+ * that waits too long fails and is retried. Requests for full lists by a fleet that starts at once, and watches that
+ * expire at all nodes together, would load the service with calls that return nothing new.
  *
  * <p>Free of I/O and clock; all randomness comes from the seed. Times are milliseconds.
  */
 public final class CallPace {
-    private static final long SHORTEST_WAIT = 5_000;
-    /** Danger: a watch whose connection has gone silent is noticed at the end of its wait. */
-    private static final long LONGEST_WAIT = 15_000;
-    /** What was missed counts as told so long after a silence began, or after a wait was over. */
-    private static final long SILENCE = 6_000;
-
-    private static final long OVER_WAIT = 2_000;
-    /** Kept of that for a new connection, the call on it and its turn. */
-    private static final long RELEARN = 1_500;
-    /** An agent on the node's own machine has answered by then, or never will. */
+    private static final long MIN_WAIT_MS = 5_000;
+    /** Upper limit, because a watch whose connection has gone silent is noticed only at the end of its wait. */
+    private static final long MAX_WAIT_MS = 15_000;
+    /**
+     * A change counts as reported to the node this long after a silence began, or {@link #WAIT_OVERRUN_MS} after the
+     * end of a wait if that is later.
+     */
+    private static final long SILENCE_LIMIT_MS = 6_000;
+
+    private static final long WAIT_OVERRUN_MS = 2_000;
+    /** Part of those times reserved for a new connection, the next call on it and its time in the service's queue. */
+    private static final long RECOVERY_MS = 1_500;
+    /** An agent on the node's own machine answers within this time or not at all. */
     public static final long AGENT_TIMEOUT_MS = 1_500;
-    /** A connection to discovery is up by then, or never will be. */
+    /** A connection to discovery is established within this time or not at all. */
     public static final long CONNECT_TIMEOUT_MS = 1_000;
-    /** A call that failed after so long has waited for its turn, or for a connection, and need not rest as well. */
-    private static final long QUEUED = 1_000;
-    /** Rests grow with the number of nodes, so that the calls of all together do not. */
-    private static final long REST_PER_NODE = 30;
+    /**
+     * A call that failed after at least this long has already waited in the queue or for a connection, so the next
+     * one needs no delay.
+     */
+    private static final long QUEUED_MS = 1_000;
+    /** Delays grow with the number of nodes, so that the total call rate does not. */
+    private static final long DELAY_PER_NODE_MS = 30;
 
-    /** Danger: after the longest rest the next call has to be answered before what was missed counts as told. */
-    private static final long LONGEST_REST = 3_000;
+    /**
+     * Upper limit, so that even after the longest delay the next call is answered before missed changes count as
+     * reported.
+     */
+    private static final long MAX_DELAY_MS = 3_000;
 
-    /** The call after a failed one is answered this soon, whether or not there is news. */
-    private static final long RETRY_WAIT = 1_000;
+    /** Wait of the call after a failed one: short, whether or not there are changes. */
+    private static final long RETRY_WAIT_MS = 1_000;
     /**
-     * The call after a silence, which asks for an answer at once, is followed by another so soon. Danger: it may fall
-     * silent, too, and what the first one hid counts as told by then.
+     * Time limit of the call after a silence, which asks for an immediate answer. That call may go unanswered, too,
+     * and by its end the changes that the first one missed count as reported.
      */
-    private static final long AFTER_SILENCE = 1_000;
-    /** A busy service has answered, or turned away, a call by so long after its wait. */
-    private static final long TURN = 2_500;
-    /** From so many nodes on, waits grow with their number. */
+    private static final long AFTER_SILENCE_MS = 1_000;
+    /** A busy service answers or rejects a call within this time after the call's wait. */
+    private static final long QUEUE_ALLOWANCE_MS = 2_500;
+    /** Above this number of nodes, waits grow with the number. */
     private static final int FEW_NODES = 4;
-    /** Waits differ by up to this part, so that those that began with the same news don't end together. */
+    /**
+     * Waits are shortened by a random part of up to this fraction, so that watches begun by the same change do not
+     * expire together.
+     */
     private static final double JITTER = 0.2;
 
     private final int nodes;
-    private final boolean pushed;
+    private final boolean pushedLists;
     private final SplittableRandom random;
     private boolean lastFailed;
     private boolean lastSilent;
 
     /**
-     * @param nodes how many call the same discovery, this one included
-     * @param pushed whether lists are pushed to an agent beside the node
+     * @param nodes how many nodes call the same discovery, this one included
+     * @param pushedLists whether lists are pushed to an agent on the node's machine
      */
-    public CallPace(int nodes, boolean pushed, long seed) {
-        this.pushed = pushed;
+    public CallPace(int nodes, boolean pushedLists, long seed) {
+        this.pushedLists = pushedLists;
         this.nodes = Math.max(1, nodes);
         random = new SplittableRandom(seed);
     }
 
     /**
-     * Whether a node that knows a list begins with a call for the whole, which is always answered at once.
-     * Danger: what an agent beside the node has counts as told from the node's first moment; a call for what
-     * is new would leave open whether there is nothing new or nothing heard.
+     * Whether a node that has a cached list begins with a request for the full list, which is always answered
+     * immediately. The list of an agent on the same machine counts as reported to the node from its start; a request
+     * for changes only could not distinguish no changes from no answer.
      */
     public boolean startsWithFullList() {
-        return pushed;
+        return pushedLists;
     }
 
     /**
-     * How long a call's answer is waited for. Danger: a connection can fall silent, and what was missed then
-     * counts as told 6 s after that, or 2 s after the call's wait is over if that is later. The silence may
-     * have begun with the call, so the next one has to go out, and be answered by a service that takes its
-     * callers in turn, before the earliest of those times. An agent that lists are pushed to answers at once
-     * what need not wait, and its word counts as told 4 s after a move to it: it is asked again within that.
+     * How long to wait for the answer to a call. A connection can fall silent, and changes missed then count as
+     * reported 6 s after the silence began, or 2 s after the call's wait is over if that is later. The silence may
+     * have begun with the call, so the next call must be sent, and answered by a service that handles calls in
+     * sequence, before the earliest of those times. An agent to which lists are pushed answers calls without a wait
+     * immediately, and its changes count as reported 4 s after a switch to it, so it is asked again within that time.
+     *
+     * @param wait how long the call asks the service to wait for changes
      */
     public long answerTimeout(long wait) {
-        if (wait == 0 && pushed) {
+        if (wait == 0 && pushedLists) {
             return AGENT_TIMEOUT_MS;
         }
         if (lastSilent) {
-            return wait + AFTER_SILENCE;
+            return wait + AFTER_SILENCE_MS;
         }
-        return lastFailed && wait <= RETRY_WAIT ? wait + TURN : Math.max(SILENCE, wait + OVER_WAIT) - RELEARN;
+        return lastFailed && wait <= RETRY_WAIT_MS
+                ? wait + QUEUE_ALLOWANCE_MS
+                : Math.max(SILENCE_LIMIT_MS, wait + WAIT_OVERRUN_MS) - RECOVERY_MS;
     }
 
-    /** How long the next watch waits for news: after a failed call only briefly, so that it is soon known to work. */
+    /**
+     * How long the next watch waits for changes; short after a failed call, to find out soon whether calls work
+     * again.
+     */
     public long nextWatchWait() {
         if (lastSilent) {
             return 0;
         } else if (lastFailed) {
-            return RETRY_WAIT;
+            return RETRY_WAIT_MS;
         }
         if (nodes <= FEW_NODES) {
-            return SHORTEST_WAIT;
+            return MIN_WAIT_MS;
         }
-        double mean = Math.min(LONGEST_WAIT, (double) SHORTEST_WAIT * nodes / FEW_NODES);
+        double mean = Math.min(MAX_WAIT_MS, (double) MIN_WAIT_MS * nodes / FEW_NODES);
         return (long) (mean * (1 - JITTER * random.nextDouble()));
     }
 
     /**
-     * How long a node that starts with a list rests before its first call. Danger: nodes that are restarted
-     * together, as after a fault, would all call in the same moment, more than the service answers in the time
-     * that it lets a call wait.
+     * Delay before the first call of a node that starts with a cached list. Nodes that restart together, as after a
+     * fault, would otherwise all call at the same moment, which is more than the service can answer before calls time
+     * out in its queue.
      */
     public long initialDelay() {
-        return rests() ? random.nextLong(longestRest()) : 0;
+        return delaysCalls() ? random.nextLong(maxDelay()) : 0;
     }
 
-    private boolean rests() {
-        return !pushed && nodes > FEW_NODES;
+    private boolean delaysCalls() {
+        return !pushedLists && nodes > FEW_NODES;
     }
 
-    private long longestRest() {
-        return Math.min(LONGEST_REST, nodes * REST_PER_NODE);
+    private long maxDelay() {
+        return Math.min(MAX_DELAY_MS, nodes * DELAY_PER_NODE_MS);
     }
 
-    /** A call was answered. */
+    /** Records that a call was answered. */
     public void recordAnswer() {
         lastFailed = false;
         lastSilent = false;
     }
 
     /**
-     * The service turned a call away; gives how long to rest before the next one, at the least. Danger: a call that
-     * has waited too long costs the service as much as one that it answers. Where the retries of many nodes fill its
-     * time none of them is ever answered; so all of theirs together must leave it some.
+     * Records that the service rejected a call; returns the minimum delay before the next one. A call that times out
+     * in the queue costs the service as much as one that it answers. Retries of many nodes could take up all of its
+     * time and none would be answered, so the delay keeps their total rate below that.
      */
     public long delayAfterTurnedAway() {
         lastFailed = true;
         lastSilent = false;
-        return rests() ? longestRest() / 2 + random.nextLong(longestRest() / 2) : 0;
+        return delaysCalls() ? maxDelay() / 2 + random.nextLong(maxDelay() / 2) : 0;
     }
 
     /**
-     * A call failed in another way; gives whether the next one goes out at once. Danger:
-     * what discovery has counts as told 6 s after the node could have heard it; the time that the call took was rest
-     * enough.
+     * Records that a call failed otherwise; returns whether the next one is sent immediately. Changes count as
+     * reported 6 s after the node could have received them, so no delay is added if the failed call took long enough
+     * itself.
      *
-     * @param milliseconds since the call, its connection included, was begun
+     * @param milliseconds time since the call was begun, connection included
      */
     public boolean retryAtOnceAfterFailure(long milliseconds) {
         lastFailed = true;
         lastSilent = false;
-        return milliseconds >= QUEUED;
+        return milliseconds >= QUEUED_MS;
     }
 
-    /** A call was not answered in its time; the next one goes out at once. */
+    /** Records that a call got no answer within its time limit; the next one is sent immediately. */
     public void recordSilence() {
         lastFailed = true;
         lastSilent = true;
--- a/src/main/java/gorserill/protocol/discovery/WatchStatistics.java
+++ b/src/main/java/gorserill/protocol/discovery/WatchStatistics.java
@@ -1,6 +1,6 @@
 package gorserill.protocol.discovery;
 
-/** Running counts of a node's calls to discovery since the start. For the loop's thread. */
+/** Counters of a node's calls to discovery since the start of the process. For the loop's thread. */
 public final class WatchStatistics {
     private long calls;
     private long answered;
@@ -10,37 +10,37 @@
     private long superseded;
     private long lateAnswers;
 
-    /** A connection for calls is opened. */
+    /** Counts a connection that is opened for calls. */
     public void countCall() {
         calls++;
     }
 
-    /** An answer was taken in whole. */
+    /** Counts an answer that was received completely. */
     public void countAnswered() {
         answered++;
     }
 
-    /** Discovery had no time for a call. */
+    /** Counts a call that discovery rejected because it was overloaded. */
     public void countTurnedAway() {
         turnedAway++;
     }
 
-    /** A call failed in another way. */
+    /** Counts a call that failed otherwise. */
     public void countFailed() {
         failed++;
     }
 
-    /** A call had no answer in its time. */
+    /** Counts a call without an answer within its time limit. */
     public void countSilent() {
         silent++;
     }
 
-    /** Another call took the place of one that is out. */
+    /** Counts a call that was replaced by another one while it was open. */
     public void countSuperseded() {
         superseded++;
     }
 
-    /** A superseded call brought news. */
+    /** Counts a superseded call that still returned changes. */
     public void countLateAnswer() {
         lateAnswers++;
     }
--- a/src/main/java/gorserill/protocol/discovery/WorkerListing.java
+++ b/src/main/java/gorserill/protocol/discovery/WorkerListing.java
@@ -6,16 +6,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What discovery answers: the whole list of workers, or changes to it. */
+/**
+ * An answer of discovery: the full list of workers, or changes to it.
+ *
+ * @param index version of the list
+ * @param whole whether this is the full list
+ * @param entries the workers listed or changed
+ */
 public record WorkerListing(long index, boolean whole, List<Entry> entries) {
 
-    /** A worker as listed; {@code since} in milliseconds of Unix time, 0 for long ago. */
+    /** A listed worker; {@code since} is Unix time in milliseconds, 0 for long ago. */
     public record Entry(String name, String address, String zone, String type, int group, String status, long since) {}
 
-    /** Reads a listing whose opening brace is the parser's present token. */
+    /** Reads a listing whose opening brace is the parser's current token. */
     public static WorkerListing read(JsonParser json) throws IOException {
         if (json.currentToken() != JsonToken.START_OBJECT) {
-            throw new IOException("a listing that is not an object");
+            throw new IOException("listing is not a JSON object");
         }
         long index = -1;
         boolean whole = false;
@@ -36,14 +42,14 @@
             }
         }
         if (index < 0) {
-            throw new IOException("a listing without index");
+            throw new IOException("listing has no index");
         }
         return new WorkerListing(index, whole, entries);
     }
 
     private static Entry entry(JsonParser json) throws IOException {
         if (json.currentToken() != JsonToken.START_OBJECT) {
-            throw new IOException("an endpoint that is not an object");
+            throw new IOException("endpoint is not a JSON object");
         }
         String name = null;
         String address = null;
@@ -67,7 +73,7 @@
             }
         }
         if (name == null || address == null) {
-            throw new IOException("an endpoint without name or address");
+            throw new IOException("endpoint has no name or no address");
         }
         return new Entry(name, address, zone, type, group, status, since);
     }
--- a/src/main/java/gorserill/protocol/peers/PeerPort.java
+++ b/src/main/java/gorserill/protocol/peers/PeerPort.java
@@ -10,69 +10,69 @@
 import java.util.logging.Logger;
 
 /**
- * Where this node hears other nodes and speaks to them. A datagram counts as its sender's by the address that
- * it came from; from any other address, or longer than the platform allows, it is dropped and counted.
+ * Sends and receives messages between nodes as datagrams. The sender is identified by its source address; a datagram
+ * from an unknown address, or longer than the platform allows, is dropped and counted.
  */
 public final class PeerPort {
     private static final Logger LOG = Logger.getLogger(PeerPort.class.getName());
-    /** Bytes; a longer message breaks the platform's rules, so none is ever sent. */
+    /** Longest message that the platform allows; longer ones are never sent. */
     public static final int MAX_MESSAGE_BYTES = 256;
 
     /**
-     * @param listen where this node's messages come in
-     * @param broadcast where a message to every other node goes
-     * @param nodes the address that each node's messages come from, by the nodes' numbers
-     * @param self this node's number, whose own messages are not for it
+     * @param listen local address on which messages are received
+     * @param broadcast address to which messages to all other nodes are sent
+     * @param nodes source address of each node's messages, by node number
+     * @param self number of this node, whose own messages are ignored
      */
     public record Addresses(
             InetSocketAddress listen, InetSocketAddress broadcast, List<InetSocketAddress> nodes, int self) {}
 
     private final Addresses addresses;
     private final DatagramTransport datagrams;
-    private final ThrottledWarnings complaints;
-    private final BiConsumer<Integer, byte[]> heard;
+    private final ThrottledWarnings warnings;
+    private final BiConsumer<Integer, byte[]> receiver;
     private long sent;
     private long received;
 
     /**
-     * @param heard the sender's number and its message, on the loop's thread
-     * @throws IOException where the address can't be had
+     * @param receiver gets the sender's number and the message, on the loop's thread
+     * @throws IOException if the address can't be bound
      */
-    public PeerPort(Loop loop, Addresses addresses, BiConsumer<Integer, byte[]> heard) throws IOException {
+    public PeerPort(Loop loop, Addresses addresses, BiConsumer<Integer, byte[]> receiver) throws IOException {
         this.addresses = addresses;
-        this.heard = heard;
-        complaints = new ThrottledWarnings(loop, LOG, "messages of other nodes dropped");
-        datagrams = new DatagramTransport(loop, addresses.listen(), MAX_MESSAGE_BYTES + 1, this::arrived);
+        this.receiver = receiver;
+        warnings = new ThrottledWarnings(loop, LOG, "messages of other nodes dropped");
+        datagrams = new DatagramTransport(loop, addresses.listen(), MAX_MESSAGE_BYTES + 1, this::receive);
     }
 
-    private void arrived(InetSocketAddress from, byte[] message) {
+    private void receive(InetSocketAddress from, byte[] message) {
         int node = addresses.nodes().indexOf(from);
         if (node < 0 || node == addresses.self()) {
-            complaints.add("foreign", "from " + from);
+            warnings.add("foreign", "from " + from);
         } else if (message.length > MAX_MESSAGE_BYTES) {
-            complaints.add("too long", "from " + from);
+            warnings.add("too long", "from " + from);
         } else {
             received++;
-            heard.accept(node, message);
+            receiver.accept(node, message);
         }
     }
 
-    /** Sends every other node a message; one that is too long is not sent. */
+    /** Sends a message to all other nodes; a message that is too long is not sent. */
     public void broadcast(byte[] message) {
         if (message.length > MAX_MESSAGE_BYTES) {
-            complaints.add("not sent", message.length + " bytes of our own");
+            warnings.add("not sent", message.length + " bytes exceed the limit of " + MAX_MESSAGE_BYTES);
             return;
         }
         sent++;
         datagrams.send(addresses.broadcast(), message);
     }
 
-    /** Messages sent, each to all others. */
+    /** Messages sent, each to all other nodes and counted once. */
     public long sent() {
         return sent;
     }
 
-    /** Messages of other nodes taken in. */
+    /** Messages of other nodes that were accepted. */
     public long received() {
         return received;
     }
--- a/src/main/java/gorserill/protocol/peers/package-info.java
+++ b/src/main/java/gorserill/protocol/peers/package-info.java
@@ -1,2 +1,5 @@
-/** Messages between nodes, over UDP: who sent one and who gets it. What they say is the module's matter. */
+/**
+ * Messages between nodes over UDP: delivery and identification of the sender. The decision module interprets their
+ * content.
+ */
 package gorserill.protocol.peers;
--- a/src/test/java/gorserill/protocol/discovery/BusyDiscoveryTest.java
+++ b/src/test/java/gorserill/protocol/discovery/BusyDiscoveryTest.java
@@ -10,28 +10,28 @@
 import org.testng.annotations.Test;
 
 /**
- * A hundred nodes at one discovery during a release, seven in ten of them restarted at once. Discovery takes new calls
- * in turn; each costs it the time of some lines and of those that it answers, also if it is turned away for having
- * waited too long; a call that finds too many before it is turned away at once, and costs nothing. A watch is answered
- * as its news comes; what begins it anew within 200 ms is never turned away, and costs half a call. Times are seconds.
- * This is how the calls of two large days were answered.
+ * Simulates 100 nodes at one discovery service during a release in which 70 of them restart at once. The service
+ * handles new calls in sequence; each costs a fixed number of list lines plus the lines returned, even if it is
+ * rejected for having waited too long. A call that finds the queue too long is rejected immediately at no cost. A
+ * watch is answered when changes arrive; one renewed within 200 ms is never rejected and costs half a call. Times are
+ * in seconds. The model reproduces how calls were answered on two days with a large fleet.
  */
 public class BusyDiscoveryTest {
     private static final int NODES = 100;
     private static final int RESTARTED = 70;
     private static final double CALL_LINES = 30;
-    private static final double TIMEOUT = 2;
-    private static final double RESTARTED_AT = 10;
-    private static final double RESTARTS_DIFFER = 0.3;
-    private static final double RELEASE_BEGINS = 8;
-    private static final double RELEASE_ENDS = 25;
-    private static final double END = 35;
-    /** A watch that is begun anew costs so many lines. */
+    private static final double TIMEOUT_S = 2;
+    private static final double RESTARTED_AT_S = 10;
+    private static final double RESTART_SPREAD_S = 0.3;
+    private static final double RELEASE_BEGINS_S = 8;
+    private static final double RELEASE_ENDS_S = 25;
+    private static final double END_S = 35;
+    /** Cost of renewing a watch, in list lines. */
     private static final double WATCH_LINES = 15;
-    /** Seconds of work in the queue beyond which a call is turned away at once. */
-    private static final double MOST_QUEUED = 5;
-    /** A change counts as told so long after discovery had it. */
-    private static final double TOLD = 6;
+    /** Seconds of queued work above which a call is rejected immediately. */
+    private static final double MAX_QUEUE_S = 5;
+    /** A change counts as reported this long after discovery had it. */
+    private static final double NOTICE_LIMIT_S = 6;
 
     private record Event(double time, long order, Runnable action) implements Comparable<Event> {
         @Override
@@ -46,11 +46,11 @@
 
     private static final class Node {
         final CallPace pace;
-        /** The lines that its list lacked as it started, beside what was published since. */
-        double behind;
+        /** Lines missing from the node's list at its start, in addition to those published since. */
+        double missingLines;
 
         int known;
-        double listensSince;
+        double listeningSince;
         boolean watches;
 
         Node(long seed) {
@@ -58,42 +58,42 @@
         }
     }
 
-    /** The service, its callers and the clock. */
+    /** The simulated service, its callers and the clock. */
     private static final class Fleet {
         private final PriorityQueue<Event> events = new PriorityQueue<>();
         private final List<Node> nodes = new ArrayList<>();
         private final List<Publication> published = new ArrayList<>(List.of(new Publication(0, 0)));
         private final SplittableRandom random;
         private final double linesPerSecond;
-        private final double linesBehind;
+        private final double missingLines;
         private double now;
         private long order;
         private double busyUntil;
-        private double slowest;
+        private double slowestNotice;
         private int turnedAway;
 
-        Fleet(double linesPerSecond, double linesBehind, double publishedEvery, double linesPublished, long seed) {
+        Fleet(double linesPerSecond, double missingLines, double publishedEvery, double linesPublished, long seed) {
             this.linesPerSecond = linesPerSecond;
-            this.linesBehind = linesBehind;
+            this.missingLines = missingLines;
             random = new SplittableRandom(seed);
             for (int i = 0; i < NODES; i++) {
                 Node node = new Node(random.nextLong());
                 nodes.add(node);
                 node.watches = i >= RESTARTED;
                 if (i < RESTARTED) {
-                    at(RESTARTED_AT + random.nextDouble(RESTARTS_DIFFER), () -> start(node));
+                    at(RESTARTED_AT_S + random.nextDouble(RESTART_SPREAD_S), () -> start(node));
                 }
             }
-            for (double time = RELEASE_BEGINS; time < RELEASE_ENDS; time += publishedEvery) {
+            for (double time = RELEASE_BEGINS_S; time < RELEASE_ENDS_S; time += publishedEvery) {
                 at(time, () -> publish(linesPublished));
             }
-            while (!events.isEmpty() && events.peek().time < END) {
+            while (!events.isEmpty() && events.peek().time < END_S) {
                 Event next = events.remove();
                 now = next.time;
                 next.action.run();
             }
             for (Node node : nodes) {
-                hears(node);
+                receiveChanges(node);
             }
         }
 
@@ -110,53 +110,53 @@
         }
 
         private void start(Node node) {
-            node.listensSince = now;
-            node.behind = linesBehind;
+            node.listeningSince = now;
+            node.missingLines = missingLines;
             after(node.pace.initialDelay() / 1_000.0, () -> call(node));
         }
 
         private void call(Node node) {
-            if (busyUntil - now > MOST_QUEUED) {
+            if (busyUntil - now > MAX_QUEUE_S) {
                 turnedAway++;
                 after(0.03, () -> turnedAway(node));
                 return;
             }
             double lines = published.get(newest()).linesUpToIt - published.get(node.known).linesUpToIt;
             double turn = Math.max(busyUntil, now);
-            busyUntil = turn + (CALL_LINES + node.behind + lines) / linesPerSecond;
-            if (busyUntil - now <= TIMEOUT) {
+            busyUntil = turn + (CALL_LINES + node.missingLines + lines) / linesPerSecond;
+            if (busyUntil - now <= TIMEOUT_S) {
                 at(busyUntil, () -> answered(node));
             } else {
                 turnedAway++;
-                after(TIMEOUT, () -> turnedAway(node));
+                after(TIMEOUT_S, () -> turnedAway(node));
             }
         }
 
         private void turnedAway(Node node) {
-            // A quarter to half a second is the least rest that the decision module ever asks for.
+            // The decision module never asks for a shorter delay than a quarter to half a second.
             double rest = Math.max(node.pace.delayAfterTurnedAway() / 1_000.0, 0.25 + random.nextDouble(0.25));
             after(rest, () -> call(node));
         }
 
         private void answered(Node node) {
-            node.behind = 0;
+            node.missingLines = 0;
             if (node.known == newest()) {
                 node.watches = true;
             } else {
-                hears(node);
-                goOn(node);
+                receiveChanges(node);
+                beginWatch(node);
             }
         }
 
-        private void hears(Node node) {
+        private void receiveChanges(Node node) {
             if (node.known < newest()) {
-                double since = Math.max(node.listensSince, published.get(node.known + 1).time);
-                slowest = Math.max(slowest, now - since);
+                double since = Math.max(node.listeningSince, published.get(node.known + 1).time);
+                slowestNotice = Math.max(slowestNotice, now - since);
                 node.known = newest();
             }
         }
 
-        private void goOn(Node node) {
+        private void beginWatch(Node node) {
             node.pace.recordAnswer();
             busyUntil = Math.max(busyUntil, now) + WATCH_LINES / linesPerSecond;
             node.watches = true;
@@ -167,29 +167,34 @@
             for (Node node : nodes) {
                 if (node.watches) {
                     node.watches = false;
-                    hears(node);
-                    goOn(node);
+                    receiveChanges(node);
+                    beginWatch(node);
                 }
             }
         }
     }
 
-    /** Lines a second that it answers, lines that a restarted node lacks, seconds and lines from news to news. */
+    /**
+     * Lines per second that the service handles, lines that a restarted node lacks, seconds between publications, and
+     * lines per publication.
+     */
     @DataProvider
     public Object[][] services() {
         return new Object[][] {{2_300, 45, 0.8, 4}, {2_500, 60, 0.8, 5}, {4_000, 150, 0.8, 5}, {8_000, 200, 0.3, 10}};
     }
 
-    /** Danger: who is turned away while all others begin their watches anew with each change hears nothing. */
+    /**
+     * A node whose calls are rejected while all others renew their watches with each change would receive no changes.
+     */
     @Test(dataProvider = "services")
-    public void everyNodeHearsEveryChangeBeforeItCountsAsTold(
-            double linesPerSecond, double behind, double every, double lines) {
+    public void everyNodeReceivesEveryChangeInTime(
+            double linesPerSecond, double missingLines, double every, double lines) {
         for (long seed = 1; seed <= 20; seed++) {
-            Fleet fleet = new Fleet(linesPerSecond, behind, every, lines, seed);
+            Fleet fleet = new Fleet(linesPerSecond, missingLines, every, lines, seed);
             assertTrue(
-                    fleet.slowest < TOLD,
-                    "seed " + seed + ": a change was heard after " + fleet.slowest + " s, " + fleet.turnedAway
-                            + " calls were turned away");
+                    fleet.slowestNotice < NOTICE_LIMIT_S,
+                    "seed " + seed + ": a change was received after " + fleet.slowestNotice + " s, " + fleet.turnedAway
+                            + " calls were rejected");
         }
     }
 }
--- a/src/test/java/gorserill/protocol/discovery/CallPaceTest.java
+++ b/src/test/java/gorserill/protocol/discovery/CallPaceTest.java
@@ -5,31 +5,34 @@
 
 import org.testng.annotations.Test;
 
-/** What the calls of all nodes add up to at one discovery. */
+/** Tests the total load of all nodes' calls on one discovery service. */
 public class CallPaceTest {
 
     /**
-     * A watch can fall silent at any moment of its wait, or with its call. What it misses counts as told 6 s
-     * after that, or 2 s after the wait is over if that is later: long before that the next call goes out.
+     * A watch can fall silent at any moment of its wait, or from the start. Changes that it misses count as reported
+     * 6 s after that, or 2 s after the end of the wait if that is later; the next call must be sent well before.
      */
     @Test
-    public void aSilentWatchIsGivenUpASecondAndAHalfBeforeWhatItMissedCountsAsTold() {
+    public void silentWatchTimesOutBeforeMissedChangesCountAsReported() {
         for (long wait = 0; wait <= 60_000; wait += 250) {
             for (long silent = 0; silent <= wait; silent += 250) {
-                long told = Math.max(silent + 6_000, wait + 2_000);
+                long deadline = Math.max(silent + 6_000, wait + 2_000);
                 assertTrue(
-                        new CallPace(3, false, 1).answerTimeout(wait) <= told - 1_500,
+                        new CallPace(3, false, 1).answerTimeout(wait) <= deadline - 1_500,
                         "wait " + wait + ", silent at " + silent);
             }
             assertTrue(
                     new CallPace(3, wait > 0, 1).answerTimeout(wait) >= wait + 500,
-                    "an answer at the end of the wait has to arrive");
+                    "an answer at the end of the wait must still be received");
         }
     }
 
-    /** Empty ends of waits must not grow with the number of nodes, until waits can grow no further. */
+    /**
+     * The total rate of watches that expire without changes must not grow with the number of nodes, until waits reach
+     * their upper limit.
+     */
     @Test
-    public void emptyCallsOfAllNodesStayWithinABound() {
+    public void totalCallRateOfAllNodesIsBounded() {
         for (int nodes = 1; nodes <= 12; nodes++) {
             double calls = 0;
             for (int node = 0; node < nodes; node++) {
@@ -43,7 +46,7 @@
     }
 
     @Test
-    public void waitsThatBeganTogetherEndApart() {
+    public void waitsOfDifferentNodesDiffer() {
         assertEquals(new CallPace(3, false, 1).nextWatchWait(), 5_000);
         long[] waits = new long[14];
         for (int node = 0; node < waits.length; node++) {
--- a/src/test/java/gorserill/protocol/peers/PeerPortTest.java
+++ b/src/test/java/gorserill/protocol/peers/PeerPortTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Datagrams between nodes on loopback, among them some that no node sent. */
+/** Tests datagrams between nodes on loopback, including some from unknown senders. */
 public class PeerPortTest {
     private static DatagramSocket socket() throws IOException {
         return new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -29,43 +29,43 @@
         from.send(new DatagramPacket(bytes, length, to));
     }
 
-    /** What comes from elsewhere or is too long is dropped; a word of the peer's, sent last, shows it. */
+    /** Datagrams from other senders and those that are too long are dropped; valid ones sent last show it. */
     @Test
-    public void onlyLawfulMessagesOfOtherNodesAreHeard() throws Exception {
+    public void onlyValidMessagesOfOtherNodesAreReceived() throws Exception {
         Loop loop = new Loop(e -> {});
-        LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
+        LinkedBlockingQueue<String> received = new LinkedBlockingQueue<>();
         try (DatagramSocket peer = socket();
-                DatagramSocket me = socket();
+                DatagramSocket own = socket();
                 DatagramSocket stranger = socket();
-                DatagramSocket taken = socket()) {
-            InetSocketAddress listen = at(taken);
-            taken.close();
+                DatagramSocket reserved = socket()) {
+            InetSocketAddress listen = at(reserved);
+            reserved.close();
             loop.start();
             PeerPort port = new PeerPort(
                     loop,
-                    new PeerPort.Addresses(listen, at(peer), List.of(at(me), at(peer)), 0),
-                    (node, message) -> heard.add(node + ":" + message.length));
+                    new PeerPort.Addresses(listen, at(peer), List.of(at(own), at(peer)), 0),
+                    (node, message) -> received.add(node + ":" + message.length));
             try {
                 send(stranger, listen, 20, 1);
-                send(me, listen, 20, 2);
+                send(own, listen, 20, 2);
                 send(peer, listen, PeerPort.MAX_MESSAGE_BYTES + 1, 3);
                 send(peer, listen, 2_000, 4);
                 send(peer, listen, PeerPort.MAX_MESSAGE_BYTES, 5);
                 send(peer, listen, 7, 6);
-                assertEquals(heard.poll(5, TimeUnit.SECONDS), "1:256");
-                assertEquals(heard.poll(5, TimeUnit.SECONDS), "1:7");
-                assertEquals(heard.size(), 0);
+                assertEquals(received.poll(5, TimeUnit.SECONDS), "1:256");
+                assertEquals(received.poll(5, TimeUnit.SECONDS), "1:7");
+                assertEquals(received.size(), 0);
 
                 loop.execute(() -> {
                     port.broadcast(new byte[PeerPort.MAX_MESSAGE_BYTES + 1]);
                     port.broadcast(new byte[] {1, 2, 3});
                 });
-                byte[] got = new byte[512];
-                DatagramPacket packet = new DatagramPacket(got, got.length);
+                byte[] buffer = new byte[512];
+                DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
                 peer.setSoTimeout(5_000);
                 peer.receive(packet);
-                assertEquals(packet.getLength(), 3, "one that is too long is never sent");
-                assertEquals(packet.getPort(), listen.getPort(), "it comes from where messages go");
+                assertEquals(packet.getLength(), 3, "a message that is too long must not be sent");
+                assertEquals(packet.getPort(), listen.getPort(), "sent from the listening address");
             } finally {
                 port.stop();
             }
