--- a/src/main/java/gorserill/routing/AdmissionControl.java
+++ b/src/main/java/gorserill/routing/AdmissionControl.java
@@ -1,19 +1,20 @@
 package gorserill.routing;
 
-/** Says whether a job may be taken at all, before anything is decided of it; called on the core's thread. */
+/** Decides whether a job is accepted before the decision module sees it. Called on the core's thread. */
 @FunctionalInterface
 public interface AdmissionControl {
-    /** An attempt at a job is about to be made; whether it may be. A job's first one always may. */
+    /** Returns whether an attempt may be made. The first attempt at a job is always allowed. */
     default boolean mayAttempt(boolean first) {
         return true;
     }
 
     /**
-     * A job asks to be let in, and is if this gives 0.
+     * Decides on a new job.
      *
      * @param now microseconds of the core's clock
-     * @param tenant its place in the settings' list; -1 where it is none of these
-     * @return else microseconds after which it had better come again
+     * @param jobClass index of the class in the settings
+     * @param tenant index of the tenant in the settings; -1 for a tenant that they do not list
+     * @return 0 if the job is accepted, otherwise the microseconds after which the client should retry
      */
     long admissionDelay(long now, int jobClass, int tenant);
 }
--- a/src/main/java/gorserill/routing/Attempt.java
+++ b/src/main/java/gorserill/routing/Attempt.java
@@ -2,7 +2,10 @@
 
 import barrowflow.Dispatcher.Outcome;
 
-/** One attempt at a request. A worker port tells of it through the methods here, on the core's thread. */
+/**
+ * One attempt to run a request on a worker. Worker ports report its progress through the public methods, on the
+ * core's thread unless stated otherwise.
+ */
 public final class Attempt {
     final Request request;
     final int number;
@@ -10,62 +13,67 @@
     final Core core;
     long handle;
     boolean started;
-    /** For the log; microseconds of the loop's clock. */
+    /** Microseconds of the loop's clock; used for logging only. */
     long sentAt;
 
     long startedAt;
-    /** Its outcome proved that the job never ran. */
+    /** Set once the outcome shows that the job never ran. */
     boolean neverRan;
-    /** The earliest moment at which a byte of it may have gone out; 0 for not yet. */
-    long begunAt;
+    /** Earliest time at which a byte of the attempt may have been written, in microseconds; 0 if not yet. */
+    long writeStartedAt;
 
-    final long worker;
+    final long workerId;
 
-    Attempt(Core core, Request request, int number, long worker, WorkerPort port) {
+    Attempt(Core core, Request request, int number, long workerId, WorkerPort port) {
         this.core = core;
         this.request = request;
         this.number = number;
-        this.worker = worker;
+        this.workerId = workerId;
         this.port = port;
     }
 
     /**
-     * To be asked right before the write of its first byte, which has to go out where this is true, and must
-     * not where it isn't. Danger: between the decision and the write lies the opening of a connection, and
-     * meanwhile the worker may have begun to drain, the client may have left, another attempt may have ended
-     * the job, or the time may be over in which workers drop a repeat.
+     * Must be called immediately before the first byte is written; the write takes place only if this returns true.
+     * Opening a connection takes time, in which the worker may have started to drain, the client may have
+     * disconnected, another attempt may have finished the job, or the deduplication window may have ended.
      */
     public boolean tryBegin() {
         return core.tryBegin(this);
     }
 
-    /** A connection has to be opened for it; may be told from within {@link WorkerPort#start}. */
+    /** Reports that a connection has to be opened; may be called from within {@link WorkerPort#start}. */
     public void opening() {
         core.opening(this);
     }
 
-    /** Its last byte was written to the worker; any thread may tell, once. */
+    /** Reports, once and from any thread, that the last byte was written to the worker. */
     public void written() {
         core.written();
     }
 
-    /** The job began to run. */
+    /** Reports that the worker started the job. */
     public void started() {
         core.started(this);
     }
 
-    /** It ended; {@code result} counts where it was served. Later calls change nothing. */
+    /**
+     * Reports the outcome; {@code result} is the worker's response if it served the job. Only the first call has an
+     * effect.
+     */
     public void ended(Outcome outcome, byte[] result, Load load) {
         core.ended(this, outcome, result, load);
     }
 
-    /** The worker can't use the job, whoever it is sent to: its client is at fault, and no worker. */
+    /**
+     * Reports that no worker can accept the job as the client sent it. The job fails without a retry, and the worker
+     * is not held responsible.
+     */
     public void invalidJob() {
         core.invalidJob(this);
     }
 
-    /** The client's id of the request, for logs. */
+    /** The request id given by the client, for logging. */
     public String requestId() {
-        return request.work.id();
+        return request.job.id();
     }
 }
--- a/src/main/java/gorserill/routing/Core.java
+++ b/src/main/java/gorserill/routing/Core.java
@@ -26,9 +26,9 @@
 import java.util.logging.Logger;
 
 /**
- * The host of the decision module: it keeps requests and attempts, carries out what the module asks for and
- * sees to it that each request gets exactly one final answer in time. It knows no wire. All of it runs on the
- * loop's thread.
+ * Hosts the decision module: keeps requests and attempts, carries out the module's actions and ensures that each
+ * request gets exactly one final response in time. Independent of any wire protocol. Runs entirely on the loop's
+ * thread.
  */
 public final class Core implements Dispatcher.Actions {
     private static final Logger LOG = Logger.getLogger(Core.class.getName());
@@ -36,158 +36,161 @@
     private final Loop loop;
     private final Settings settings;
     private final Dispatcher module;
-    private final Runnable watch;
+    private final Runnable subscribe;
     private final SiblingProcesses siblings;
     private final SlotTable<Request> requests = new SlotTable<>();
-    /** The clients' own ids of the open requests. */
+    /** Client-given ids of the open requests. */
     private final Set<String> openIds = new HashSet<>();
 
     private final SlotTable<Attempt> attempts = new SlotTable<>();
     private final Map<Long, WorkerPort> ports = new HashMap<>();
-    /** Workers that came to the node by themselves; a list from discovery does not know them. */
-    private final Map<Long, Worker> guests = new HashMap<>();
-    /** Workers in service, by what discovery, operators and the workers themselves said last. */
+    /** Workers that registered with this node themselves and therefore are not part of discovery's list. */
+    private final Map<Long, Worker> registeredWorkers = new HashMap<>();
+    /** Workers in service according to the latest report of discovery, operators or the workers themselves. */
     private final Set<Long> inService = new HashSet<>();
 
     private long lastNow;
     private final JobStatistics statistics;
-    private int open;
-    private long setAnswerDeadline = Long.MAX_VALUE;
+    private int openCount;
+    private long answerDeadline = Long.MAX_VALUE;
     private Runnable whenIdle;
-    private Consumer<byte[]> setPeerSender = message -> {};
-    private BooleanSupplier setDescriptorShortage = () -> false;
-    private AdmissionControl setAdmissionControl = (now, jobClass, tenant) -> 0;
-    private final ThrottledWarnings complaints;
+    private Consumer<byte[]> peerSender = message -> {};
+    private BooleanSupplier descriptorShortage = () -> false;
+    private AdmissionControl admissionControl = (now, jobClass, tenant) -> 0;
+    private final ThrottledWarnings warnings;
 
-    /** The same for a process that has no siblings. */
-    public Core(Loop loop, Settings settings, long seed, Runnable watch) {
-        this(loop, settings, seed, watch, SiblingProcesses.none());
+    /** Creates a core for a process without sibling processes. */
+    public Core(Loop loop, Settings settings, long seed, Runnable subscribe) {
+        this(loop, settings, seed, subscribe, SiblingProcesses.none());
     }
 
-    /** @param watch starts a subscription to the worker list; whatever comes of it goes to {@link #updateWorkers} */
-    public Core(Loop loop, Settings settings, long seed, Runnable watch, SiblingProcesses siblings) {
-        this(loop, settings, watch, siblings, (now, core) -> new Choice(settings, seed, now, core));
+    /** @param subscribe starts a subscription to the worker list, whose results go to {@link #updateWorkers} */
+    public Core(Loop loop, Settings settings, long seed, Runnable subscribe, SiblingProcesses siblings) {
+        this(loop, settings, subscribe, siblings, (now, core) -> new Choice(settings, seed, now, core));
     }
 
-    /** @param module makes the decision module, told the present time */
+    /** @param moduleFactory creates the decision module from the present time and its actions */
     Core(
             Loop loop,
             Settings settings,
-            Runnable watch,
+            Runnable subscribe,
             SiblingProcesses siblings,
-            BiFunction<Long, Dispatcher.Actions, Dispatcher> module) {
+            BiFunction<Long, Dispatcher.Actions, Dispatcher> moduleFactory) {
         this.siblings = siblings;
         this.loop = loop;
         this.settings = settings;
-        this.watch = watch;
+        this.subscribe = subscribe;
         statistics = new JobStatistics(settings.classes().size());
-        complaints = new ThrottledWarnings(loop, LOG, "jobs refused");
-        this.module = module.apply(now(), this);
+        warnings = new ThrottledWarnings(loop, LOG, "jobs refused");
+        this.module = moduleFactory.apply(now(), this);
     }
 
-    // ---- what comes in ----
+    // ---- events from outside ----
 
     /**
-     * Whether a request of this id is open at this node, whichever process has it. Danger: workers tell
-     * requests apart by the clients' ids alone, so a front must turn away a second one, whoever sends it,
-     * until the first has its answer.
+     * Whether a request of this id is open in any process of this node. Workers tell requests apart by the
+     * client-given ids alone, so a second request with the id of an open one, from any client, must be rejected until
+     * the first one has its response.
      */
     public boolean isOpen(String id) {
         return openIds.contains(id) || siblings.isOpenElsewhere(id);
     }
 
-    /** Takes a request whose id is not open; gives its handle. */
-    public long submit(ResponseHandler front, JobSpec work, RequestOptions ask) {
+    /** Submits a request whose id is not open; returns its handle. */
+    public long submit(ResponseHandler handler, JobSpec job, RequestOptions options) {
         long now = now();
-        long expires = Math.min(setAnswerDeadline, ask.arrivedAt() + ask.timeLeft());
-        JobClass of = settings.classes().get(work.jobClass());
-        Request request = new Request(front, work, expires, of);
+        long expires = Math.min(answerDeadline, options.arrivedAt() + options.timeLeft());
+        JobClass jobClass = settings.classes().get(job.jobClass());
+        Request request = new Request(handler, job, expires, jobClass);
         request.takenAt = now;
         request.handle = requests.add(request);
-        open++;
-        openIds.add(work.id());
-        siblings.requestOpened(work.id());
-        boolean full = setDescriptorShortage.getAsBoolean();
-        long wait = full || expires <= now ? 0 : setAdmissionControl.admissionDelay(now, work.jobClass(), ask.tenant());
-        if (expires <= now || full || wait > 0) {
-            // Danger: without a descriptor for a worker it would only wait for its time to run out.
-            if (full) {
-                complaints.add("no descriptors left for workers", "request " + work.id());
+        openCount++;
+        openIds.add(job.id());
+        siblings.requestOpened(job.id());
+        boolean noDescriptors = descriptorShortage.getAsBoolean();
+        long retryAfter = noDescriptors || expires <= now
+                ? 0
+                : admissionControl.admissionDelay(now, job.jobClass(), options.tenant());
+        if (expires <= now || noDescriptors || retryAfter > 0) {
+            // Without a file descriptor for a worker connection the request would only wait until it expires.
+            if (noDescriptors) {
+                warnings.add("no descriptors left for workers", "request " + job.id());
             }
             conclude(request);
-            statistics.countRefused(work.jobClass());
-            front.refused(full ? settings.maxRetryAfter() : Math.min(wait, settings.maxRetryAfter()));
-            release(request);
+            statistics.countRefused(job.jobClass());
+            handler.refused(noDescriptors ? settings.maxRetryAfter() : Math.min(retryAfter, settings.maxRetryAfter()));
+            releaseIfDone(request);
             return request.handle;
         }
         request.deadline = loop.at(expires, () -> expire(request));
-        // Danger: the module takes whoever waits for less than others for one who asks again late, and gives
-        // up on the job. Only a client that says so does; the core itself keeps the client's own time.
-        long told = ask.retry() ? ask.timeLeft() : Math.max(ask.timeLeft(), of.deadline());
+        // The module treats a request with less time than usual as a late retry and gives up on it. Therefore it gets
+        // the shorter time only for a marked retry; the core itself enforces the client's own time limit.
+        long clientWait = options.retry() ? options.timeLeft() : Math.max(options.timeLeft(), jobClass.deadline());
         module.request(
                 now,
                 request.handle,
-                work.jobClass(),
-                ask.tenant(),
-                ask.key(),
-                told,
-                ask.slots(),
-                ask.memory(),
+                job.jobClass(),
+                options.tenant(),
+                options.key(),
+                clientWait,
+                options.slots(),
+                options.memory(),
                 request.effect,
-                ask.workEstimate(),
-                ask.possibleRetry());
+                options.workEstimate(),
+                options.possibleRetry());
         return request.handle;
     }
 
-    /** The client has left. Gives whether the job may have run, or may yet. */
+    /** Handles a client that disconnected. Returns whether the job may have run or may still run. */
     public boolean withdraw(long handle) {
         Request request = requests.get(handle);
-        if (request == null || request.over) {
+        if (request == null || request.concluded) {
             return false;
         }
         conclude(request);
         module.withdrawn(now(), handle);
-        release(request);
-        return !provedNeverRun(request);
+        releaseIfDone(request);
+        return !provenNeverRun(request);
     }
 
-    /** The worker list, or changes to it, as discovery tells them. */
-    public void updateWorkers(ListKind kind, List<Worker> entries, Map<Long, ? extends WorkerPort> addresses) {
+    /** Applies the worker list, or changes to it, as discovery reported it. */
+    public void updateWorkers(ListKind kind, List<Worker> listed, Map<Long, ? extends WorkerPort> addresses) {
         ports.putAll(addresses);
-        List<Worker> all = new ArrayList<>(entries);
+        List<Worker> workers = new ArrayList<>(listed);
         if (kind == ListKind.WHOLE || kind == ListKind.CACHED) {
-            all.addAll(guests.values());
+            workers.addAll(registeredWorkers.values());
         }
-        tell(kind, all);
+        applyWorkerList(kind, workers);
     }
 
-    private void tell(ListKind kind, List<Worker> all) {
-        module.workers(now(), kind, all);
-        // Danger: one that drains may have ended a job since it was told of first; its connection rests now.
-        Set<Long> named = new HashSet<>(inService);
+    private void applyWorkerList(ListKind kind, List<Worker> workers) {
+        module.workers(now(), kind, workers);
+        // A draining worker may have finished a job since its state was first reported, so its connection may be idle
+        // only now. Workers out of service are therefore notified at each report.
+        Set<Long> affected = new HashSet<>(inService);
         if (kind == ListKind.WHOLE || kind == ListKind.CACHED) {
             inService.clear();
         }
-        for (Worker worker : all) {
+        for (Worker worker : workers) {
             if (worker.state() == WorkerState.READY) {
                 inService.add(worker.id());
             } else {
                 inService.remove(worker.id());
-                named.add(worker.id());
+                affected.add(worker.id());
             }
         }
-        for (long worker : named) {
+        for (long worker : affected) {
             if (!inService.contains(worker)) {
                 ports.get(worker).outOfService();
             }
         }
     }
 
-    /** The one place that decides whether an attempt's first byte may go out now. */
+    /** The only place that decides whether an attempt's first byte may be written now. */
     boolean tryBegin(Attempt attempt) {
         long now = now();
         HoldReason reason = holdReason(attempt, now);
-        attempt.begunAt = reason == null ? now : 0;
+        attempt.writeStartedAt = reason == null ? now : 0;
         if (reason != null) {
             statistics.countHeldBack(reason);
             LOG.log(Level.FINE, "attempt {0} no {1} at {2} is held back: {3}", new Object[] {
@@ -197,108 +200,113 @@
         return reason == null;
     }
 
-    /** Gives what forbids an attempt to begin now; null where nothing does. */
+    /** Returns the reason to withhold an attempt now, or null if it may start. */
     private HoldReason holdReason(Attempt attempt, long now) {
         Request request = attempt.request;
-        if (request.over || attempts.get(attempt.handle) == null) {
+        if (request.concluded || attempts.get(attempt.handle) == null) {
             return HoldReason.OVER;
-        } else if (request.front.clientLeft()) {
+        } else if (request.handler.clientLeft()) {
             return HoldReason.CLIENT_LEFT;
-        } else if (!inService.contains(attempt.worker)) {
+        } else if (!inService.contains(attempt.workerId)) {
             return HoldReason.WORKER_OUT_OF_SERVICE;
-        } else if (!request.mayBegin(attempt, settings.classes().get(request.work.jobClass()), now)) {
+        } else if (!request.mayBegin(attempt, settings.classes().get(request.job.jobClass()), now)) {
             return HoldReason.MAY_HAVE_RUN;
         }
         return null;
     }
 
-    /** A worker that came by itself, or a change of its state. */
+    /** Adds or updates a worker that registered with this node itself. */
     public void updateRegisteredWorker(Worker worker, WorkerPort port) {
         if (worker.state() == WorkerState.GONE) {
-            guests.remove(worker.id());
+            registeredWorkers.remove(worker.id());
         } else {
-            guests.put(worker.id(), worker);
+            registeredWorkers.put(worker.id(), worker);
             ports.put(worker.id(), port);
         }
-        tell(ListKind.CHANGES, List.of(worker));
+        applyWorkerList(ListKind.CHANGES, List.of(worker));
         if (worker.state() == WorkerState.GONE) {
             ports.remove(worker.id());
         }
     }
 
-    /** Whatever is taken from now on gets its answer until then, however long its client would wait. */
-    public void setAnswerDeadline(long time) {
-        setAnswerDeadline = time;
+    /**
+     * Sets the latest time at which requests submitted from now on are answered, even if their clients wait longer.
+     */
+    public void setAnswerDeadline(long deadline) {
+        answerDeadline = deadline;
     }
 
-    /** Calls back once no request is open; new ones may still come before that. */
-    public void whenIdle(Runnable then) {
-        whenIdle = then;
-        tellIdle();
+    /** Calls back once no request is open; new requests may still arrive before that. */
+    public void whenIdle(Runnable callback) {
+        whenIdle = callback;
+        notifyIfIdle();
     }
 
     public int openRequests() {
-        return open;
+        return openCount;
     }
 
-    /** A front turned a job away without asking. Gives how long its client may be told to stay away. */
+    /**
+     * Counts a job that a frontend rejected without submitting it. Returns how long its client may be asked to wait
+     * before a retry.
+     */
     public long countTurnedAway(int jobClass) {
         statistics.countRefused(jobClass);
         return settings.maxRetryAfter();
     }
 
-    /** What was counted since the start. */
+    /** Counters since the start of the process. */
     public JobStatistics statistics() {
         return statistics;
     }
 
-    /** What the module has learned, for a process that takes this one's place. */
+    /** What the decision module has learned, for a process that replaces this one. */
     public LearnedState learned() {
         return module.learned(now());
     }
 
-    /** The module begins with what another process's has learned. */
+    /** Initializes the decision module with what the module of another process has learned. */
     public void restoreLearned(LearnedState learned) {
         module.recall(now(), learned);
     }
 
-    /** Says whether connections are so many that none may be left for workers; then no job is taken. */
-    public void setDescriptorShortage(BooleanSupplier so) {
-        setDescriptorShortage = so;
+    /** Sets the check for a shortage of file descriptors; while it returns true no job is accepted. */
+    public void setDescriptorShortage(BooleanSupplier shortage) {
+        descriptorShortage = shortage;
     }
 
-    /** Asks there for each job whether it may be taken; jobs of the node's own included. */
-    public void setAdmissionControl(AdmissionControl its) {
-        setAdmissionControl = its;
+    /** Sets the admission control for all jobs, including those that the node itself submits. */
+    public void setAdmissionControl(AdmissionControl control) {
+        admissionControl = control;
     }
 
-    /** Where messages to all other nodes go. */
-    public void setPeerSender(Consumer<byte[]> tell) {
-        setPeerSender = tell;
+    /** Sets the function that broadcasts messages to all other nodes. */
+    public void setPeerSender(Consumer<byte[]> sender) {
+        peerSender = sender;
     }
 
-    /** A message of another node, by its number. */
+    /** Passes on a message of another node, given by its number. */
     public void receivedFromPeer(int node, byte[] message) {
         module.heard(now(), node, message);
     }
 
-    /** A worker was gone for long and is forgotten; false while an attempt at it is still out. */
+    /** Forgets a worker that has been gone for long; returns false while an attempt on it is still open. */
     public boolean tryForget(long worker) {
         WorkerPort port = ports.get(worker);
-        boolean[] used = {false};
-        attempts.forEach(attempt -> used[0] |= attempt.port == port);
-        if (!used[0]) {
+        boolean[] inUse = {false};
+        attempts.forEach(attempt -> inUse[0] |= attempt.port == port);
+        if (!inUse[0]) {
             ports.remove(worker);
         }
-        return !used[0];
+        return !inUse[0];
     }
 
-    /** Whether nothing new goes to a worker at present. */
+    /** Whether the module currently sends nothing new to a worker. */
     public boolean avoids(long worker) {
         return module.avoids(now(), worker);
     }
 
-    // ---- what becomes of attempts ----
+    // ---- progress of attempts ----
 
     void opening(Attempt attempt) {
         module.opening(attempt.request.handle, attempt.number);
@@ -322,29 +330,30 @@
         }
         Request request = attempt.request;
         if (LOG.isLoggable(Level.FINE)) {
-            tellAttempt(attempt, outcome);
+            logAttempt(attempt, outcome);
         }
-        request.out--;
+        request.openAttempts--;
         attempt.neverRan |= outcome.neverRan;
-        // The answer goes out before the module learns of it: it waits for nobody's bookkeeping.
-        if (outcome == Outcome.SERVED && !request.over) {
+        // The response is sent before the module is updated, so that the client does not wait for bookkeeping.
+        if (outcome == Outcome.SERVED && !request.concluded) {
             conclude(request);
-            JobContract bond = request.work.contract();
-            if (bond == null || bond.acceptsResult(result)) {
-                statistics.countServed(request.work.jobClass());
-                request.front.served(result);
+            JobContract contract = request.job.contract();
+            if (contract == null || contract.acceptsResult(result)) {
+                statistics.countServed(request.job.jobClass());
+                request.handler.served(result);
             } else {
-                // Danger: the job has run; a bad answer is never a reason to run it again.
-                statistics.countFailed(request.work.jobClass());
-                request.front.failed();
+                // The job has run, so a response that violates the contract must not cause a retry.
+                statistics.countFailed(request.job.jobClass());
+                request.handler.failed();
             }
         }
-        module.ended(now(), request.handle, attempt.number, outcome, request.over, load.freeSlots(), load.freeMemory());
-        release(request);
+        module.ended(
+                now(), request.handle, attempt.number, outcome, request.concluded, load.freeSlots(), load.freeMemory());
+        releaseIfDone(request);
     }
 
-    /** What staff count to see where a fleet's time goes: one line an attempt, milliseconds. */
-    private void tellAttempt(Attempt attempt, Outcome outcome) {
+    /** Logs one line per attempt, with times in milliseconds, to show where the time of a job is spent. */
+    private void logAttempt(Attempt attempt, Outcome outcome) {
         Request request = attempt.request;
         long now = now();
         long start = attempt.startedAt > 0 ? attempt.startedAt : now;
@@ -352,111 +361,111 @@
                 Level.FINE,
                 "attempt {0} class {1} no {2} at {3}: {4} held {5} waited {6} ran {7} left {8}",
                 new Object[] {
-                    request.work.id(),
-                    request.work.jobClass(),
+                    request.job.id(),
+                    request.job.jobClass(),
                     attempt.number,
                     attempt.port,
                     outcome,
                     (attempt.sentAt - request.takenAt) / 1_000,
                     (start - attempt.sentAt) / 1_000,
                     (now - start) / 1_000,
-                    (request.expires - now) / 1_000
+                    (request.expiresAt - now) / 1_000
                 });
     }
 
     /**
-     * Danger: tried again, what no worker can use would be held against one after the other. It is over, and
-     * the module hears of it as of an attempt that it took back.
+     * Fails a job that no worker can accept. A retry would count as a failure against one worker after the other. The
+     * module sees an attempt that was cancelled.
      */
     void invalidJob(Attempt attempt) {
-        if (attempts.get(attempt.handle) != null && !attempt.request.over) {
+        if (attempts.get(attempt.handle) != null && !attempt.request.concluded) {
             conclude(attempt.request);
-            statistics.countFailed(attempt.request.work.jobClass());
-            attempt.request.front.failed();
+            statistics.countFailed(attempt.request.job.jobClass());
+            attempt.request.handler.failed();
         }
         ended(attempt, Outcome.CANCELLED, null, Load.NONE);
     }
 
     /**
-     * The client's time is up: attempts still out have timed out, and the module gives the final answer. What
-     * it would still hold gets one here: the client waits no longer, whatever the module hopes for.
+     * Handles the end of the client's waiting time: open attempts end as timed out, upon which the module gives the
+     * final response. If it still holds the request, the core answers, since the client waits no longer.
      */
     private void expire(Request request) {
         for (Attempt attempt : List.copyOf(request.attempts)) {
             if (attempts.get(attempt.handle) != null) {
-                boolean never = attempt.port.abort(attempt);
-                ended(attempt, never ? Outcome.CONNECT_FAILED : Outcome.TIMEOUT, null, Load.NONE);
+                boolean neverRan = attempt.port.abort(attempt);
+                ended(attempt, neverRan ? Outcome.CONNECT_FAILED : Outcome.TIMEOUT, null, Load.NONE);
             }
         }
-        if (!request.over) {
+        if (!request.concluded) {
             conclude(request);
             module.withdrawn(now(), request.handle);
-            giveUp(request, settings.maxRetryAfter());
+            refuseOrFail(request, settings.maxRetryAfter());
         }
     }
 
-    /** From here on the request has its one final answer. */
+    /** Marks the request as having its final response. */
     private void conclude(Request request) {
-        request.over = true;
+        request.concluded = true;
         loop.cancel(request.deadline);
-        openIds.remove(request.work.id());
-        siblings.requestClosed(request.work.id());
-        open--;
+        openIds.remove(request.job.id());
+        siblings.requestClosed(request.job.id());
+        openCount--;
         if (whenIdle != null) {
-            loop.execute(this::tellIdle);
+            loop.execute(this::notifyIfIdle);
         }
     }
 
-    private void tellIdle() {
-        if (whenIdle != null && open == 0) {
-            Runnable then = whenIdle;
+    private void notifyIfIdle() {
+        if (whenIdle != null && openCount == 0) {
+            Runnable callback = whenIdle;
             whenIdle = null;
-            then.run();
+            callback.run();
         }
     }
 
-    private void release(Request request) {
-        if (request.over
-                && request.out == 0
+    private void releaseIfDone(Request request) {
+        if (request.concluded
+                && request.openAttempts == 0
                 && requests.remove(request.handle) != null
-                && request.work.contract() != null) {
-            request.work.contract().release();
+                && request.job.contract() != null) {
+            request.job.contract().release();
         }
     }
 
     private long now() {
-        // The module's clock must not go back, not even by what two threads' clocks may differ.
+        // The module's clock must not go backwards, not even by the difference between the clocks of two threads.
         lastNow = Math.max(lastNow, loop.now());
         return lastNow;
     }
 
-    // ---- what the module asks for ----
+    // ---- actions of the decision module ----
 
     @Override
     public void send(long handle, long worker) {
         Request request = requests.get(handle);
-        if (request == null || request.over) {
+        if (request == null || request.concluded) {
             LOG.log(Level.SEVERE, "the module sent request {0}, which is over; not sent", handle);
             return;
         }
-        boolean lawful = request.mayBeSent(settings.classes().get(request.work.jobClass()));
+        boolean allowed = request.mayBeSent(settings.classes().get(request.job.jobClass()));
         Attempt attempt = new Attempt(this, request, request.attempts.size(), worker, ports.get(worker));
         request.attempts.add(attempt);
-        request.out++;
+        request.openAttempts++;
         attempt.handle = attempts.add(attempt);
-        if (!lawful) {
-            LOG.log(Level.SEVERE, "the module sent request {0} again, which may have run; not sent", request.work.id());
-            // Its outcome comes as an event of its own: the module is in the middle of a call.
+        if (!allowed) {
+            LOG.log(Level.SEVERE, "the module sent request {0} again, which may have run; not sent", request.job.id());
+            // The outcome is reported in a separate event because the module is in the middle of a call.
             loop.execute(() -> ended(attempt, Outcome.NOT_SENT, null, Load.NONE));
             return;
         }
-        if (!setAdmissionControl.mayAttempt(attempt.number == 0)) {
-            // Danger: left out of the module's count, it would be tried at each worker in turn, for ever.
+        if (!admissionControl.mayAttempt(attempt.number == 0)) {
+            // An attempt that the module did not count would be tried at each worker in turn, without end.
             loop.execute(() -> ended(attempt, Outcome.NOT_SENT, null, Load.NONE));
             return;
         }
         attempt.sentAt = now();
-        attempt.port.start(attempt, request.work, request.expires);
+        attempt.port.start(attempt, request.job, request.expiresAt);
     }
 
     @Override
@@ -466,45 +475,45 @@
             Attempt attempt = request.attempts.get(number);
             if (attempts.get(attempt.handle) != null) {
                 attempt.neverRan = attempt.port.abort(attempt);
-                // Its outcome comes as an event of its own: the module is in the middle of a call.
+                // The outcome is reported in a separate event because the module is in the middle of a call.
                 loop.execute(() -> ended(attempt, Outcome.CANCELLED, null, Load.NONE));
             }
         }
     }
 
     @Override
-    public void refuse(long handle, long wait) {
+    public void refuse(long handle, long retryAfter) {
         Request request = requests.get(handle);
-        if (request == null || request.over) {
+        if (request == null || request.concluded) {
             return;
         }
         if (!mayRefuse(request)) {
-            LOG.log(Level.SEVERE, "the module refused request {0}, which may have run; failed", request.work.id());
+            LOG.log(Level.SEVERE, "the module refused request {0}, which may have run; failed", request.job.id());
         }
         conclude(request);
-        giveUp(request, wait);
+        refuseOrFail(request, retryAfter);
     }
 
-    /** Refuses a request where that is lawful, else fails it. */
-    private void giveUp(Request request, long wait) {
+    /** Refuses a request if that is allowed, otherwise fails it. */
+    private void refuseOrFail(Request request, long retryAfter) {
         if (mayRefuse(request)) {
-            statistics.countRefused(request.work.jobClass());
-            request.front.refused(wait);
+            statistics.countRefused(request.job.jobClass());
+            request.handler.refused(retryAfter);
         } else {
-            statistics.countFailed(request.work.jobClass());
-            request.front.failed();
+            statistics.countFailed(request.job.jobClass());
+            request.handler.failed();
         }
-        release(request);
+        releaseIfDone(request);
     }
 
     private boolean mayRefuse(Request request) {
-        JobClass of = settings.classes().get(request.work.jobClass());
-        return provedNeverRun(request)
+        JobClass jobClass = settings.classes().get(request.job.jobClass());
+        return provenNeverRun(request)
                 || request.effect == Dispatcher.Effect.SAFE
-                || request.effect == Dispatcher.Effect.KEYED && of.group() == Dispatcher.Group.ALL;
+                || request.effect == Dispatcher.Effect.KEYED && jobClass.group() == Dispatcher.Group.ALL;
     }
 
-    private boolean provedNeverRun(Request request) {
+    private boolean provenNeverRun(Request request) {
         for (Attempt attempt : request.attempts) {
             if (!attempt.neverRan) {
                 return false;
@@ -516,35 +525,35 @@
     @Override
     public void fail(long handle) {
         Request request = requests.get(handle);
-        if (request != null && !request.over) {
+        if (request != null && !request.concluded) {
             conclude(request);
-            statistics.countFailed(request.work.jobClass());
-            request.front.failed();
-            release(request);
+            statistics.countFailed(request.job.jobClass());
+            request.handler.failed();
+            releaseIfDone(request);
         }
     }
 
     @Override
-    public void timerAt(long time) {
-        loop.at(time, () -> module.timer(now()));
+    public void timerAt(long deadline) {
+        loop.at(deadline, () -> module.timer(now()));
     }
 
     @Override
     public void tell(byte[] message) {
-        setPeerSender.accept(message);
+        peerSender.accept(message);
     }
 
     @Override
     public void probe(long worker) {
         WorkerPort port = ports.get(worker);
         if (port != null) {
-            // Its answer comes as an event of its own: the module is in the middle of a call.
+            // The answer is reported in a separate event because the module is in the middle of a call.
             port.probe(load -> loop.execute(() -> module.probed(now(), worker, load.freeSlots(), load.freeMemory())));
         }
     }
 
     @Override
     public void watchList() {
-        watch.run();
+        subscribe.run();
     }
 }
--- a/src/main/java/gorserill/routing/HoldReason.java
+++ b/src/main/java/gorserill/routing/HoldReason.java
@@ -1,12 +1,12 @@
 package gorserill.routing;
 
-/** Why an attempt may not begin at the moment of its first byte. */
+/** Why an attempt must not be written when its connection is ready. */
 public enum HoldReason {
-    /** The request has its final answer, or the attempt its outcome. */
+    /** The request has its final response, or the attempt already has an outcome. */
     OVER,
     CLIENT_LEFT,
-    /** The worker drains, is gone, or was taken out. */
+    /** The worker is draining, gone or disabled by an operator. */
     WORKER_OUT_OF_SERVICE,
-    /** An attempt before it may have run, and a repeat would run the job twice. */
+    /** An earlier attempt may have run, and a repeat could run the job twice. */
     MAY_HAVE_RUN
 }
--- a/src/main/java/gorserill/routing/JobContract.java
+++ b/src/main/java/gorserill/routing/JobContract.java
@@ -3,18 +3,16 @@
 import barrowflow.Dispatcher.Effect;
 
 /**
- * What binds one job beyond its class: a contract that it was taken under, as it was then. It knows no wire
- * and no description.
+ * The contract version in force when a job was accepted, which may restrict the job beyond the rules of its class.
+ * Independent of the wire protocol and of the format of the contract.
  */
 public interface JobContract {
-    /** What running the job twice does; the stricter of this and its class's holds. */
+    /** The effect of running the job twice. The stricter of this and the effect of the job's class applies. */
     Effect effect();
 
-    /**
-     * Whether a worker's answer may be given to the client; if not, the job failed, and is not tried again.
-     */
+    /** Whether a worker's response may be returned to the client. If not, the job fails and is not retried. */
     boolean acceptsResult(byte[] result);
 
-    /** The job is over, and nothing more is asked of this. */
+    /** Releases the contract version once the job has ended; not called more than once per job. */
     void release();
 }
--- a/src/main/java/gorserill/routing/JobSpec.java
+++ b/src/main/java/gorserill/routing/JobSpec.java
@@ -1,17 +1,17 @@
 package gorserill.routing;
 
 /**
- * A job as the core passes it on, in no wire's terms.
+ * A job as the core passes it to a worker, independent of the wire protocol.
  *
- * @param id the client's own id of the request
- * @param jobClass its place in the settings' list of classes
- * @param route where within the service the client asked for it, for whoever can make use of it
- * @param idempotencyKey what workers tell repeats by; null where the job has none
- * @param contentType of the body; null where not told
+ * @param id the client's request id
+ * @param jobClass index of the class in the settings
+ * @param route path within the service that the client requested, for worker protocols that have paths
+ * @param idempotencyKey key by which workers detect repeats; null if the job has none
+ * @param contentType media type of the body; null if unknown
  * @param body passed on unread
- * @param contract what binds this job beyond its class; null for nothing
- * @param fencingToken rises from owner to owner of the work that this job is part of; null for nothing. Workers that
- *     check it can turn away what an owner of old sends late; no promise rests on their doing so
+ * @param contract contract that applies in addition to the class; null for none
+ * @param fencingToken increases with each owner of the work that this job belongs to; null for none. Workers that
+ *     check it can reject late requests of a previous owner; no guarantee depends on their doing so
  */
 public record JobSpec(
         String id,
@@ -23,7 +23,7 @@
         JobContract contract,
         String fencingToken) {
 
-    /** A job that is part of nothing else. */
+    /** A job without fencing token. */
     public JobSpec(
             String id,
             int jobClass,
@@ -35,7 +35,7 @@
         this(id, jobClass, route, idempotencyKey, contentType, body, contract, null);
     }
 
-    /** A job that nothing but its class binds. */
+    /** A job without contract and fencing token. */
     public JobSpec(String id, int jobClass, String route, String idempotencyKey, String contentType, byte[] body) {
         this(id, jobClass, route, idempotencyKey, contentType, body, null, null);
     }
--- a/src/main/java/gorserill/routing/JobStatistics.java
+++ b/src/main/java/gorserill/routing/JobStatistics.java
@@ -2,15 +2,15 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Running counts since the start: answers by class and kind, each job once, and attempts. */
+/** Counters since the start of the process: final responses by class and kind, each job once, and attempts. */
 public final class JobStatistics {
     private final long[] served;
     private final long[] refused;
     private final long[] failed;
     private final long[] heldBack = new long[HoldReason.values().length];
     private final AtomicLong attempts = new AtomicLong();
-    /** The sums when it was asked in words last. */
-    private long[] told = new long[3];
+    /** Totals served, refused and failed at the last call of {@link #summarySinceLastCall}. */
+    private long[] lastReported = new long[3];
 
     JobStatistics(int classes) {
         served = new long[classes];
@@ -30,7 +30,7 @@
         failed[jobClass]++;
     }
 
-    /** An attempt was given back before its first byte. */
+    /** Counts an attempt that was withheld before its first byte. */
     void countHeldBack(HoldReason reason) {
         heldBack[reason.ordinal()]++;
     }
@@ -39,7 +39,7 @@
         return heldBack[reason.ordinal()];
     }
 
-    /** An attempt's last byte was written; any thread may tell. */
+    /** Counts an attempt whose last byte was written; may be called from any thread. */
     void countAttempt() {
         attempts.incrementAndGet();
     }
@@ -56,18 +56,18 @@
         return failed[jobClass];
     }
 
-    /** Attempts written whole to workers. */
+    /** Attempts that were written completely to workers. */
     public long attempts() {
         return attempts.get();
     }
 
-    /** How many answers of each kind were given since it was asked last, in words. */
+    /** Describes how many responses of each kind were given since the previous call. */
     public String summarySinceLastCall() {
-        long[] now = {sum(served), sum(refused), sum(failed)};
-        String words =
-                (now[0] - told[0]) + " served, " + (now[1] - told[1]) + " refused, " + (now[2] - told[2]) + " failed";
-        told = now;
-        return words;
+        long[] current = {sum(served), sum(refused), sum(failed)};
+        String summary = (current[0] - lastReported[0]) + " served, " + (current[1] - lastReported[1]) + " refused, "
+                + (current[2] - lastReported[2]) + " failed";
+        lastReported = current;
+        return summary;
     }
 
     private static long sum(long[] counts) {
--- a/src/main/java/gorserill/routing/Request.java
+++ b/src/main/java/gorserill/routing/Request.java
@@ -6,12 +6,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that the node has taken. */
+/** A request that the node has accepted and that still has attempts in flight or no final response. */
 final class Request {
-    final ResponseHandler front;
-    final JobSpec work;
-    final long expires;
-    /** The stricter of what its class and what binds it say. */
+    final ResponseHandler handler;
+    final JobSpec job;
+    final long expiresAt;
+    /** The stricter of the effect of the job's class and that of its contract. */
     final Effect effect;
 
     final List<Attempt> attempts = new ArrayList<>(1);
@@ -20,32 +20,33 @@
     long takenAt;
 
     Deadline deadline;
-    /** Its final answer is given, or nobody waits for one. */
-    boolean over;
+    /** The final response was given, or the client has disconnected. */
+    boolean concluded;
 
-    int out;
+    int openAttempts;
 
-    Request(ResponseHandler front, JobSpec work, long expires, JobClass of) {
-        effect = effect(work, of);
-        this.front = front;
-        this.work = work;
-        this.expires = expires;
+    Request(ResponseHandler handler, JobSpec job, long expiresAt, JobClass jobClass) {
+        effect = effect(job, jobClass);
+        this.handler = handler;
+        this.job = job;
+        this.expiresAt = expiresAt;
     }
 
     /**
-     * Danger: a bond can be keyed where the class is safe. Nothing then says that workers of that class drop
-     * repeats, whatever key they are told, so none are sent.
+     * Combines both effects. A contract may declare a job keyed although its class is safe. The workers of that class
+     * are not known to deduplicate by key, so such a job is treated as unsafe.
      */
-    private static Effect effect(JobSpec work, JobClass of) {
-        Effect told = work.contract() == null ? Effect.SAFE : work.contract().effect();
-        return told.compareTo(of.effect()) <= 0 ? of.effect() : Effect.UNSAFE;
+    private static Effect effect(JobSpec job, JobClass jobClass) {
+        Effect contractEffect =
+                job.contract() == null ? Effect.SAFE : job.contract().effect();
+        return contractEffect.compareTo(jobClass.effect()) <= 0 ? jobClass.effect() : Effect.UNSAFE;
     }
 
-    /** Whether an attempt may be made: none before it may have run, or a repeat does no harm. */
-    boolean mayBeSent(JobClass of) {
+    /** Whether another attempt may be made: no earlier one may have run, or running the job twice is harmless. */
+    boolean mayBeSent(JobClass jobClass) {
         for (Attempt attempt : attempts) {
             if (!attempt.neverRan
-                    && (effect == Effect.UNSAFE || effect == Effect.KEYED && of.effect() != Effect.KEYED)) {
+                    && (effect == Effect.UNSAFE || effect == Effect.KEYED && jobClass.effect() != Effect.KEYED)) {
                 return false;
             }
         }
@@ -53,16 +54,16 @@
     }
 
     /**
-     * Whether an attempt may begin beside those that have begun. Danger: it was decided on before, when a
-     * repeat would still have been dropped, and its connection may have come up late.
+     * Whether an attempt may be written in addition to those already started. The decision to make it was taken
+     * earlier, and by the time its connection is up the deduplication window may have ended.
      */
-    boolean mayBegin(Attempt next, JobClass of, long now) {
+    boolean mayBegin(Attempt next, JobClass jobClass, long now) {
         for (Attempt attempt : attempts) {
             if (attempt != next
-                    && attempt.begunAt > 0
+                    && attempt.writeStartedAt > 0
                     && !attempt.neverRan
                     && (effect == Effect.UNSAFE
-                            || effect == Effect.KEYED && now >= attempt.begunAt + of.dedupWindow())) {
+                            || effect == Effect.KEYED && now >= attempt.writeStartedAt + jobClass.dedupWindow())) {
                 return false;
             }
         }
--- a/src/main/java/gorserill/routing/RequestOptions.java
+++ b/src/main/java/gorserill/routing/RequestOptions.java
@@ -1,17 +1,17 @@
 package gorserill.routing;
 
 /**
- * What a client asks besides the work itself.
+ * What a client states about a request beside the job itself.
  *
- * @param arrivedAt when the request's last byte came
- * @param timeLeft how long the client waits, from then on
- * @param retry whether it says that it asks again
- * @param tenant its place in the settings' list; -1 where it is none of these
- * @param key what the job is about; 0 for nothing
- * @param slots slots that it takes of a worker
- * @param memory memory units that it takes
- * @param workEstimate a rough guess at its work, microseconds of a standard core; 0 for none
- * @param possibleRetry whether it may be a repeat though it does not say so
+ * @param arrivedAt when the last byte of the request was received
+ * @param timeLeft how long the client waits from then on, in microseconds
+ * @param retry whether the client marked the request as a retry
+ * @param tenant index of the tenant in the settings; -1 for a tenant that they do not list
+ * @param key key by which jobs are routed; 0 for none
+ * @param slots worker slots that the job occupies
+ * @param memory worker memory units that the job occupies
+ * @param workEstimate rough estimate of the work, in microseconds of a standard core; 0 for none
+ * @param possibleRetry whether the request may be a retry although it is not marked as one
  */
 public record RequestOptions(
         long arrivedAt,
@@ -23,7 +23,7 @@
         double memory,
         long workEstimate,
         boolean possibleRetry) {
-    /** A job that comes without a guess at its work. */
+    /** A request without a work estimate that is not suspected to be a retry. */
     public RequestOptions(
             long arrivedAt, long timeLeft, boolean retry, int tenant, long key, double slots, double memory) {
         this(arrivedAt, timeLeft, retry, tenant, key, slots, memory, 0, false);
--- a/src/main/java/gorserill/routing/ResponseHandler.java
+++ b/src/main/java/gorserill/routing/ResponseHandler.java
@@ -1,19 +1,19 @@
 package gorserill.routing;
 
-/** Where a request came in, and its one final answer goes out; called on the core's thread. */
+/** Delivers the single final response of a request to its client. Called on the core's thread. */
 public interface ResponseHandler {
-    /** A worker did the job; {@code result} is what it gave, maybe nothing. */
+    /** A worker completed the job; {@code result} is its response body, which may be empty. */
     void served(byte[] result);
 
-    /** Not done, and trying again is harmless, best after {@code waitMicros}. */
+    /** The job did not run to completion and is safe to retry, preferably after {@code waitMicros}. */
     void refused(long waitMicros);
 
-    /** Not done as far as is known, but it may have run. */
+    /** The job has no known result, but may have run. */
     void failed();
 
     /**
-     * Whether the client has gone, of which the core may still have to hear: events wait in turn, and what
-     * has gone must have nothing begun for it.
+     * Whether the client has disconnected. This may be true before the core has processed the corresponding event; no
+     * attempt is started for such a client.
      */
     default boolean clientLeft() {
         return false;
--- a/src/main/java/gorserill/routing/WorkerPort.java
+++ b/src/main/java/gorserill/routing/WorkerPort.java
@@ -2,31 +2,32 @@
 
 import java.util.function.Consumer;
 
-/** A worker that the core can send attempts to; called on the core's thread. */
+/** Connection of the core to one worker. Called on the core's thread. */
 public interface WorkerPort {
     /**
-     * Starts an attempt, which the worker ends with exactly one call of {@link Attempt#ended}, never from
-     * within this method, unless it is called off before.
+     * Starts an attempt. The port reports its end by exactly one call of {@link Attempt#ended}, never from within
+     * this method, unless the attempt is aborted first.
      *
-     * @param expires when the core stops waiting for it
+     * @param expiresAt when the core stops waiting for it
      */
-    void start(Attempt attempt, JobSpec work, long expires);
+    void start(Attempt attempt, JobSpec job, long expiresAt);
 
     /**
-     * Stops waiting for an attempt that has not ended; nothing may be told of it from here on.
+     * Aborts an attempt that has not ended; nothing may be reported for it afterwards.
      *
-     * @return true where the job provably was never handed to the worker
+     * @return true if the job was provably never sent to the worker
      */
     boolean abort(Attempt attempt);
 
     /**
-     * It has gone out of service. What rests is closed, and each attempt of which not a byte has gone out is
-     * given back. Danger: a job on a connection that comes up later would be the last to hear of it.
+     * The worker is no longer in service. Idle connections are closed, and every attempt of which no byte was written
+     * is returned to the core. A job written to a connection that comes up later would reach the worker after it
+     * began to drain.
      */
     default void outOfService() {}
 
-    /** Asks the worker for its load; told once, {@link Load#NONE} where nothing is learned. */
-    default void probe(Consumer<Load> answer) {
-        answer.accept(Load.NONE);
+    /** Asks the worker for its load; calls back once, with {@link Load#NONE} if the load can't be determined. */
+    default void probe(Consumer<Load> callback) {
+        callback.accept(Load.NONE);
     }
 }
--- a/src/test/java/gorserill/routing/CoreRulesProperties.java
+++ b/src/test/java/gorserill/routing/CoreRulesProperties.java
@@ -27,23 +27,22 @@
 import org.testng.annotations.Test;
 
 /**
- * The brief's rules as properties of the real core and module together, on a clock of the test's own: runs of
- * events drawn from fixed seeds (arrivals, lists that drain and drop workers, starts, ends, hangs, clients
- * that leave, a process that is killed and started again with its last list, messages of other nodes sound
- * and spoilt, probes that are answered, refused or not at all), under one known deployment and under others
- * drawn from seeds. Every action is checked from outside: one final answer by the client's time, none after
- * a client left, nothing that must not run twice run twice, nothing new to a worker 500 ms after it was told
- * that it drains, and each give-up told at once,
- * with when to come back.
+ * Checks the rules of the platform as properties of the real core and decision module together, on a simulated clock.
+ * Each run executes random events from a fixed seed: arrivals, worker lists with draining and removed workers,
+ * starts, ends, hangs, clients that disconnect, a process that is killed and restarted with its cached list, valid
+ * and corrupted messages of other nodes, and probes that are answered, rejected or ignored. Runs use one fixed
+ * deployment and random ones. Every action is checked from outside: one final response within the client's time, none
+ * after the client disconnected, no repeat of a job that must not run twice, nothing new on a worker 500 ms after it
+ * was reported as draining, and each refusal immediate and with a time for the retry.
  */
 public class CoreRulesProperties {
-    private static final long STEP = 20_000;
-    private static final long DRAIN_GRACE = 500_000;
+    private static final long STEP_MICROS = 20_000;
+    private static final long DRAIN_GRACE_MICROS = 500_000;
     private static final List<JobClass> CLASSES = List.of(
             new JobClass(100_000, 2, 1_500_000, 1, 0.3, Effect.SAFE, Group.ALL, 0, -1),
             new JobClass(100_000, 2, 1_500_000, 3, 0, Effect.UNSAFE, Group.ALL, 0, -1),
             new JobClass(100_000, 2, 1_500_000, 2, 0, Effect.KEYED, Group.ZONE, 400_000, -1));
-    private static final Settings KNOWN = new Settings(
+    private static final Settings FIXED_DEPLOYMENT = new Settings(
             2,
             0,
             CLASSES,
@@ -58,7 +57,7 @@
             0,
             true);
 
-    /** Where a job stood when its client left or its time ran out. */
+    /** State of a job when its client disconnected or its time ended. */
     enum Stage {
         HELD,
         CONNECTING,
@@ -66,22 +65,22 @@
         RUNNING
     }
 
-    /** The test's clock; each process's loop counts from its own start on it. */
+    /** The test's clock; the loop of each process counts from its own start. */
     private final long[] nanos = {0};
 
-    private final List<Throwable> faults = new ArrayList<>();
-    private final Map<Long, Port> ports = new HashMap<>();
-    private final List<Job> jobs = new ArrayList<>();
-    /** Jobs of the process that runs now that have neither an answer nor a client that left. */
-    private final List<Job> open = new ArrayList<>();
+    private final List<Throwable> errors = new ArrayList<>();
+    private final Map<Long, FakeWorker> workers = new HashMap<>();
+    private final List<ClientJob> jobs = new ArrayList<>();
+    /** Jobs of the current process that have no response and whose client is still connected. */
+    private final List<ClientJob> open = new ArrayList<>();
 
     private Loop loop;
     private final Map<Stage, Integer> stages = new EnumMap<>(Stage.class);
     private Core core;
     private Settings settings;
     private List<JobClass> classes;
-    /** The last message that the node sent its peers. */
-    private byte[] told;
+    /** The last message that the node sent to its peers. */
+    private byte[] lastPeerMessage;
 
     @DataProvider
     public static Object[][] seeds() {
@@ -89,33 +88,33 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void everyRuleHoldsOverARunOfEvents(long seed) {
-        run(seed, KNOWN);
+    public void rulesHoldOverRandomEvents(long seed) {
+        run(seed, FIXED_DEPLOYMENT);
         for (Stage stage : Stage.values()) {
             assertTrue(stages.getOrDefault(stage, 0) > 0, "no job ended while " + stage);
         }
     }
 
-    /** Nothing may hold by luck of one deployment's settings. */
+    /** No rule may depend on the settings of one deployment. */
     @Test(dataProvider = "seeds")
-    public void everyRuleHoldsInDeploymentsThatNobodyHasSeen(long seed) {
+    public void rulesHoldInRandomDeployments(long seed) {
         for (int i = 0; i < 3; i++) {
             run(100 * seed + i, Deployments.draw(new SplittableRandom(100 * seed + i)));
         }
     }
 
-    private void run(long seed, Settings under) {
-        settings = under;
-        classes = under.classes();
-        ports.clear();
+    private void run(long seed, Settings deployment) {
+        settings = deployment;
+        classes = deployment.classes();
+        workers.clear();
         jobs.clear();
         open.clear();
         stages.clear();
         nanos[0] = 0;
-        told = null;
+        lastPeerMessage = null;
         SplittableRandom random = new SplittableRandom(seed);
         for (long id = 1; id <= 8; id++) {
-            ports.put(id, new Port(id));
+            workers.put(id, new FakeWorker(id));
         }
         restart(seed);
         for (int step = 0; step < 4_000; step++) {
@@ -129,23 +128,23 @@
                         restart(seed * 1_000 + step);
                     }
                 }
-                case 7 -> hear(random);
-                default -> work(random);
+                case 7 -> receivePeerMessage(random);
+                default -> progressAttempt(random);
             }
-            pass(random.nextLong(STEP));
+            advance(random.nextLong(STEP_MICROS));
         }
         for (int i = 0; i < 200; i++) {
-            pass(STEP);
+            advance(STEP_MICROS);
         }
-        assertEquals(faults, List.of());
-        for (Job job : jobs) {
-            assertTrue(job.gone || job.answers.size() == 1, job + " has " + job.answers);
+        assertEquals(errors, List.of());
+        for (ClientJob job : jobs) {
+            assertTrue(job.disconnected || job.answers.size() == 1, job + " has " + job.answers);
         }
     }
 
-    /** A message of another node: this one's last under another life, spoilt, or no message at all. */
-    private void hear(SplittableRandom random) {
-        byte[] message = told == null ? new byte[random.nextInt(300)] : told.clone();
+    /** Delivers a peer message: the node's last one with another process id, a corrupted one, or random bytes. */
+    private void receivePeerMessage(SplittableRandom random) {
+        byte[] message = lastPeerMessage == null ? new byte[random.nextInt(300)] : lastPeerMessage.clone();
         if (message.length > 4) {
             message[1 + random.nextInt(3)]++;
         }
@@ -161,25 +160,27 @@
     }
 
     private void restart(long seed) {
-        loop = new Loop(faults::add, () -> nanos[0]);
+        loop = new Loop(errors::add, () -> nanos[0]);
         core = new Core(loop, settings, seed, () -> {});
         core.setPeerSender(message -> {
-            assertTrue(settings.loadSources().peers() && message.length <= 256, "a message that may not be sent");
-            told = message;
+            assertTrue(
+                    settings.loadSources().peers() && message.length <= 256,
+                    "message is too long or peer messages are disabled");
+            lastPeerMessage = message;
         });
-        List<Worker> all = ports.values().stream().map(Port::entry).toList();
-        core.updateWorkers(ListKind.CACHED, all, ports);
+        List<Worker> all = workers.values().stream().map(FakeWorker::entry).toList();
+        core.updateWorkers(ListKind.CACHED, all, workers);
     }
 
-    /** The process ends at once: its clients lose their connections, workers run on what they have. */
+    /** Kills the process: its clients lose their connections, and workers continue what they have received. */
     private void kill() {
-        open.forEach(job -> job.gone = true);
+        open.forEach(job -> job.disconnected = true);
         open.clear();
-        ports.values().forEach(p -> p.out.clear());
+        workers.values().forEach(p -> p.attempts.clear());
     }
 
     private void arrive(SplittableRandom random) {
-        Job job = new Job(jobs.size(), random.nextInt(classes.size()));
+        ClientJob job = new ClientJob(jobs.size(), random.nextInt(classes.size()));
         jobs.add(job);
         open.add(job);
         long left = random.nextInt(30) == 0 ? 0 : 200_000 + random.nextLong(1_300_000);
@@ -200,65 +201,67 @@
     }
 
     private void drainOrDrop(SplittableRandom random) {
-        Port port = ports.get(1 + random.nextLong(ports.size()));
-        port.state = random.nextInt(3) == 0
+        FakeWorker worker = workers.get(1 + random.nextLong(workers.size()));
+        worker.state = random.nextInt(3) == 0
                 ? WorkerState.READY
                 : random.nextBoolean() ? WorkerState.DRAINING : WorkerState.GONE;
-        if (port.state == WorkerState.READY) {
-            port.toldAt = Long.MAX_VALUE;
-            port.since = loop.now();
+        if (worker.state == WorkerState.READY) {
+            worker.outOfServiceSince = Long.MAX_VALUE;
+            worker.since = loop.now();
         } else {
-            port.toldAt = Math.min(port.toldAt, now());
+            worker.outOfServiceSince = Math.min(worker.outOfServiceSince, now());
         }
-        core.updateWorkers(ListKind.CHANGES, List.of(port.entry()), Map.of());
+        core.updateWorkers(ListKind.CHANGES, List.of(worker.entry()), Map.of());
     }
 
     private void leave(SplittableRandom random) {
         if (jobs.isEmpty()) {
             return;
         }
-        Job job = jobs.get(jobs.size() - 1 - random.nextInt(Math.min(jobs.size(), 30)));
+        ClientJob job = jobs.get(jobs.size() - 1 - random.nextInt(Math.min(jobs.size(), 30)));
         if (!open.remove(job)) {
             return;
         }
         stages.merge(job.stage(), 1, Integer::sum);
-        job.gone = true;
+        job.disconnected = true;
         core.withdraw(job.handle);
     }
 
-    /** A worker hands over, starts or ends one of its jobs; now and then it says nothing for a while. */
-    private void work(SplittableRandom random) {
-        Port port = ports.get(1 + random.nextLong(ports.size()));
-        if (port.out.isEmpty() || port.hangs) {
-            port.hangs = random.nextInt(200) == 0;
+    /** Lets one attempt of a worker be received, start or end; occasionally the worker hangs for a while. */
+    private void progressAttempt(SplittableRandom random) {
+        FakeWorker worker = workers.get(1 + random.nextLong(workers.size()));
+        if (worker.attempts.isEmpty() || worker.hangs) {
+            worker.hangs = random.nextInt(200) == 0;
             return;
         }
-        Try t = port.out.get(random.nextInt(port.out.size()));
-        if (!t.handed) {
+        TrackedAttempt tried = worker.attempts.get(random.nextInt(worker.attempts.size()));
+        if (!tried.received) {
             if (random.nextInt(6) == 0) {
-                port.end(t, random.nextBoolean() ? Outcome.CONNECT_FAILED : Outcome.REJECTED);
+                worker.end(tried, random.nextBoolean() ? Outcome.CONNECT_FAILED : Outcome.REJECTED);
             } else {
-                t.handed = true;
+                tried.received = true;
             }
-        } else if (!t.started) {
-            t.started = true;
-            t.attempt.started();
+        } else if (!tried.started) {
+            tried.started = true;
+            tried.attempt.started();
         } else {
-            port.end(t, random.nextInt(5) > 0 ? Outcome.SERVED : random.nextBoolean() ? Outcome.ERROR : Outcome.RESET);
+            worker.end(
+                    tried,
+                    random.nextInt(5) > 0 ? Outcome.SERVED : random.nextBoolean() ? Outcome.ERROR : Outcome.RESET);
         }
     }
 
-    /** Time passes by the millisecond; what the loop has due runs at each. */
-    private void pass(long micros) {
+    /** Advances the clock in steps of a millisecond and runs what is due at each step. */
+    private void advance(long micros) {
         for (long until = now() + micros; now() < until; loop.runDue()) {
             nanos[0] += Math.min(1_000, until - now()) * 1_000;
-            for (Job job : open) {
+            for (ClientJob job : open) {
                 if (job.expires <= now() && job.expiredAt == null) {
                     job.expiredAt = job.stage();
                 }
             }
         }
-        for (Job job : open) {
+        for (ClientJob job : open) {
             assertTrue(job.expires > now() - 1_000, job + " has no answer 1 ms after its time");
         }
     }
@@ -271,38 +274,38 @@
         };
     }
 
-    /** A job as its client sees it. */
-    private final class Job implements ResponseHandler {
+    /** A job as seen by its client. */
+    private final class ClientJob implements ResponseHandler {
         final int number;
         final int jobClass;
         final List<String> answers = new ArrayList<>();
-        final List<Try> tries = new ArrayList<>();
+        final List<TrackedAttempt> tries = new ArrayList<>();
         long handle;
         /** Microseconds of the test's clock. */
         long expires;
 
-        boolean gone;
-        /** Where it stood when its time ran out, before the core called off what was out. */
+        boolean disconnected;
+        /** State at the end of its time, before the core aborted open attempts. */
         Stage expiredAt;
 
-        Job(int number, int jobClass) {
+        ClientJob(int number, int jobClass) {
             this.number = number;
             this.jobClass = jobClass;
         }
 
         Stage stage() {
-            Stage at = Stage.HELD;
-            for (Try t : tries) {
-                if (!t.ended) {
-                    Stage its = t.started ? Stage.RUNNING : t.handed ? Stage.HANDED : Stage.CONNECTING;
-                    at = its.compareTo(at) > 0 ? its : at;
+            Stage furthest = Stage.HELD;
+            for (TrackedAttempt tried : tries) {
+                if (!tried.ended) {
+                    Stage current = tried.started ? Stage.RUNNING : tried.received ? Stage.HANDED : Stage.CONNECTING;
+                    furthest = current.compareTo(furthest) > 0 ? current : furthest;
                 }
             }
-            return at;
+            return furthest;
         }
 
         private void answer(String what) {
-            assertFalse(gone, this + " was answered after its client left");
+            assertFalse(disconnected, this + " was answered after its client left");
             assertTrue(now() <= expires + 1_000, this + " was answered " + (now() - expires) + " us late");
             answers.add(what);
             assertEquals(answers.size(), 1, this + " has more than one answer: " + answers);
@@ -321,7 +324,7 @@
         public void refused(long waitMicros) {
             assertTrue(
                     waitMicros >= 0 && waitMicros <= settings.maxRetryAfter(),
-                    this + " was refused with a time to come back of " + waitMicros + " us");
+                    this + " was refused with a retry time of " + waitMicros + " us");
             answer("refused");
         }
 
@@ -336,35 +339,35 @@
         }
     }
 
-    /** One attempt as a worker sees it. */
-    private static final class Try {
+    /** One attempt as seen by its worker. */
+    private static final class TrackedAttempt {
         final Attempt attempt;
-        final Port port;
+        final FakeWorker worker;
         /** Microseconds of the test's clock. */
-        final long at;
-        /** The worker has the job: from here on it may run, whatever comes of it. */
-        boolean handed;
+        final long startedAt;
+        /** Set once the worker has received the job; from then on it may run. */
+        boolean received;
 
         boolean started;
         boolean ended;
 
-        Try(Attempt attempt, Port port, long at) {
+        TrackedAttempt(Attempt attempt, FakeWorker worker, long furthest) {
             this.attempt = attempt;
-            this.port = port;
-            this.at = at;
+            this.worker = worker;
+            this.startedAt = furthest;
         }
     }
 
-    /** A worker: what it was told last, and what it holds. */
-    private final class Port implements WorkerPort {
+    /** A worker with its last reported state and its open attempts. */
+    private final class FakeWorker implements WorkerPort {
         final long id;
-        final List<Try> out = new ArrayList<>();
+        final List<TrackedAttempt> attempts = new ArrayList<>();
         WorkerState state = WorkerState.READY;
-        long toldAt = Long.MAX_VALUE;
+        long outOfServiceSince = Long.MAX_VALUE;
         long since;
         boolean hangs;
 
-        Port(long id) {
+        FakeWorker(long id) {
             this.id = id;
         }
 
@@ -374,49 +377,50 @@
 
         @Override
         public void probe(Consumer<Load> answer) {
-            assertTrue(settings.loadSources().probes(), "a probe that may not be sent");
+            assertTrue(settings.loadSources().probes(), "probe sent although probes are disabled");
             answer.accept(id % 3 == 0 ? Load.NONE : new Load(id % 5, Double.NaN));
         }
 
         @Override
         public void start(Attempt attempt, JobSpec work, long expires) {
-            Job job = jobs.get(Integer.parseInt(work.id().substring(1)));
-            assertTrue(job.answers.isEmpty() && !job.gone, job + " was sent on after its end");
+            ClientJob job = jobs.get(Integer.parseInt(work.id().substring(1)));
+            assertTrue(job.answers.isEmpty() && !job.disconnected, job + " was sent after its end");
             assertTrue(
-                    toldAt == Long.MAX_VALUE || now() <= toldAt + DRAIN_GRACE,
-                    job + " was sent to worker " + id + ", told " + state + " " + (now() - toldAt) + " us ago");
+                    outOfServiceSince == Long.MAX_VALUE || now() <= outOfServiceSince + DRAIN_GRACE_MICROS,
+                    job + " was sent to worker " + id + ", reported as " + state + " " + (now() - outOfServiceSince)
+                            + " us ago");
             JobClass of = classes.get(job.jobClass);
-            for (Try before : job.tries) {
-                if (before.handed) {
+            for (TrackedAttempt before : job.tries) {
+                if (before.received) {
                     assertTrue(of.effect() != Effect.UNSAFE, job + " may have run and was sent again");
                     assertTrue(
                             of.effect() == Effect.SAFE
-                                    || sameGroup(of, before.port.entry(), entry())
-                                            && now() < before.at + of.dedupWindow(),
-                            job + " left its first group or window");
+                                    || sameGroup(of, before.worker.entry(), entry())
+                                            && now() < before.startedAt + of.dedupWindow(),
+                            job + " was repeated outside its group or deduplication window");
                 }
             }
-            Try t = new Try(attempt, this, now());
-            job.tries.add(t);
-            out.add(t);
+            TrackedAttempt tried = new TrackedAttempt(attempt, this, now());
+            job.tries.add(tried);
+            attempts.add(tried);
         }
 
         @Override
         public boolean abort(Attempt attempt) {
-            for (Try t : out) {
-                if (t.attempt == attempt) {
-                    out.remove(t);
-                    t.ended = true;
-                    return !t.handed;
+            for (TrackedAttempt tried : attempts) {
+                if (tried.attempt == attempt) {
+                    attempts.remove(tried);
+                    tried.ended = true;
+                    return !tried.received;
                 }
             }
             return false;
         }
 
-        void end(Try t, Outcome outcome) {
-            out.remove(t);
-            t.ended = true;
-            t.attempt.ended(outcome, new byte[0], new Load(1, Double.NaN));
+        void end(TrackedAttempt tried, Outcome outcome) {
+            attempts.remove(tried);
+            tried.ended = true;
+            tried.attempt.ended(outcome, new byte[0], new Load(1, Double.NaN));
         }
     }
 }
--- a/src/test/java/gorserill/routing/CoreTest.java
+++ b/src/test/java/gorserill/routing/CoreTest.java
@@ -33,14 +33,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The core with fronts and workers that are no wire's. */
+/** Tests the core with frontends and workers that use no wire protocol. */
 public class CoreTest {
     private static final int SAFE = 0;
     private static final int UNSAFE = 1;
-    private static final long DEADLINE = 2_000_000;
+    private static final long DEADLINE_MICROS = 2_000_000;
 
-    private final List<Throwable> faults = new ArrayList<>();
-    /** Kept, since a logger that nobody holds forgets its level. */
+    private final List<Throwable> errors = new ArrayList<>();
+    /** Strongly referenced: a logger that is garbage collected loses its level. */
     private static final Logger LOG = Logger.getLogger(Core.class.getName());
 
     private Loop loop;
@@ -50,10 +50,10 @@
 
     @BeforeMethod
     public void start() {
-        faults.clear();
-        loop = new Loop(faults::add);
-        JobClass safe = new JobClass(100_000, 2, DEADLINE, 1, 0, Effect.SAFE, Group.ALL, 0, -1);
-        JobClass unsafe = new JobClass(100_000, 2, DEADLINE, 1, 0, Effect.UNSAFE, Group.ALL, 0, -1);
+        errors.clear();
+        loop = new Loop(errors::add);
+        JobClass safe = new JobClass(100_000, 2, DEADLINE_MICROS, 1, 0, Effect.SAFE, Group.ALL, 0, -1);
+        JobClass unsafe = new JobClass(100_000, 2, DEADLINE_MICROS, 1, 0, Effect.UNSAFE, Group.ALL, 0, -1);
         settings = new Settings(
                 1,
                 0,
@@ -75,15 +75,15 @@
     public void stop() {
         loop.stop();
         LOG.setLevel(null);
-        assertEquals(faults, List.of());
+        assertEquals(errors, List.of());
     }
 
-    /** Does something on the loop's thread and waits for it. */
-    private <T> T on(Callable<T> what) throws Exception {
+    /** Runs an action on the loop's thread and waits for its result. */
+    private <T> T on(Callable<T> action) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(() -> {
             try {
-                done.complete(what.call());
+                done.complete(action.call());
             } catch (Exception | AssertionError e) {
                 done.completeExceptionally(e);
             }
@@ -91,22 +91,22 @@
         return done.get(5, TimeUnit.SECONDS);
     }
 
-    private long take(Answers front, int jobClass, long timeLeft) {
-        return take(front, jobClass, timeLeft, null);
+    private long submit(RecordedAnswers handler, int jobClass, long timeLeft) {
+        return submit(handler, jobClass, timeLeft, null);
     }
 
-    private long take(Answers front, int jobClass, long timeLeft, JobContract bond) {
-        JobSpec work = new JobSpec("r", jobClass, null, null, null, new byte[0], bond);
-        return core.submit(front, work, new RequestOptions(loop.now(), timeLeft, false, 0, 0, 1, 0));
+    private long submit(RecordedAnswers handler, int jobClass, long timeLeft, JobContract contract) {
+        JobSpec job = new JobSpec("r", jobClass, null, null, null, new byte[0], contract);
+        return core.submit(handler, job, new RequestOptions(loop.now(), timeLeft, false, 0, 0, 1, 0));
     }
 
-    /** What binds a job, and how often it was let go. */
-    private static final class Bound implements JobContract {
+    /** A contract with fixed answers that counts its releases. */
+    private static final class FakeContract implements JobContract {
         final Effect effect;
         final boolean accepts;
-        int over;
+        int releases;
 
-        Bound(Effect effect, boolean accepts) {
+        FakeContract(Effect effect, boolean accepts) {
             this.effect = effect;
             this.accepts = accepts;
         }
@@ -123,7 +123,7 @@
 
         @Override
         public void release() {
-            over++;
+            releases++;
         }
     }
 
@@ -136,8 +136,8 @@
                 ports);
     }
 
-    /** What came of a request. */
-    private static final class Answers implements ResponseHandler {
+    /** Records the final responses to a request. */
+    private static final class RecordedAnswers implements ResponseHandler {
         final List<String> given = new ArrayList<>();
         final CountDownLatch first = new CountDownLatch(1);
         long wait;
@@ -169,32 +169,32 @@
         }
     }
 
-    /** A worker that keeps what it gets. */
-    private static class Keeper implements WorkerPort {
-        final List<Attempt> got = new ArrayList<>();
+    /** A worker that records its attempts and ends none. */
+    private static class RecordingWorker implements WorkerPort {
+        final List<Attempt> attempts = new ArrayList<>();
         final CountDownLatch first = new CountDownLatch(1);
         final boolean neverRan;
-        int calledOff;
+        int aborts;
 
-        Keeper(boolean neverRan) {
+        RecordingWorker(boolean neverRan) {
             this.neverRan = neverRan;
         }
 
         @Override
-        public void start(Attempt attempt, JobSpec work, long expires) {
-            got.add(attempt);
+        public void start(Attempt attempt, JobSpec job, long expires) {
+            attempts.add(attempt);
             first.countDown();
         }
 
         @Override
         public boolean abort(Attempt attempt) {
-            calledOff++;
+            aborts++;
             return neverRan;
         }
     }
 
-    private Keeper keeper(boolean neverRan) throws Exception {
-        Keeper keeper = new Keeper(neverRan);
+    private RecordingWorker recordingWorker(boolean neverRan) throws Exception {
+        RecordingWorker keeper = new RecordingWorker(neverRan);
         on(() -> {
             list(ListKind.WHOLE, WorkerState.READY, Map.of(1L, keeper));
             return null;
@@ -203,13 +203,13 @@
     }
 
     @Test
-    public void theFirstOutcomeIsTheOnlyAnswer() throws Exception {
-        Keeper worker = keeper(false);
-        Answers front = new Answers();
-        on(() -> take(front, SAFE, DEADLINE));
+    public void onlyTheFirstOutcomeIsAnswered() throws Exception {
+        RecordingWorker worker = recordingWorker(false);
+        RecordedAnswers handler = new RecordedAnswers();
+        on(() -> submit(handler, SAFE, DEADLINE_MICROS));
         assertTrue(worker.first.await(5, TimeUnit.SECONDS));
         on(() -> {
-            Attempt attempt = worker.got.get(0);
+            Attempt attempt = worker.attempts.get(0);
             attempt.started();
             attempt.ended(Outcome.SERVED, "yes".getBytes(), Load.NONE);
             attempt.ended(Outcome.SERVED, "again".getBytes(), Load.NONE);
@@ -217,189 +217,190 @@
             attempt.started();
             return null;
         });
-        assertEquals(front.await(), List.of("served yes"));
+        assertEquals(handler.await(), List.of("served yes"));
         assertEquals(on(core::openRequests).intValue(), 0);
     }
 
     @Test
-    public void aSilentWorkersAttemptEndsWithTheClientsTime() throws Exception {
+    public void attemptOnSilentWorkerEndsAtClientTimeout() throws Exception {
         for (boolean neverRan : new boolean[] {false, true}) {
-            Keeper worker = keeper(neverRan);
-            Answers front = new Answers();
+            RecordingWorker worker = recordingWorker(neverRan);
+            RecordedAnswers handler = new RecordedAnswers();
             long asked = System.nanoTime();
-            on(() -> take(front, UNSAFE, 300_000));
-            // An unsafe job that may have run must not be refused: the client would send it again.
-            assertEquals(front.await(), List.of(neverRan ? "refused" : "failed"));
+            on(() -> submit(handler, UNSAFE, 300_000));
+            // An unsafe job that may have run must not be refused, because the client would send it again.
+            assertEquals(handler.await(), List.of(neverRan ? "refused" : "failed"));
             long took = (System.nanoTime() - asked) / 1_000_000;
             assertTrue(took >= 295 && took < 700, "after " + took + " ms");
-            assertEquals(worker.calledOff, 1);
+            assertEquals(worker.aborts, 1);
             start();
         }
     }
 
     @Test
-    public void aClientThatLeavesIsToldNothing() throws Exception {
-        Keeper worker = keeper(false);
-        Answers front = new Answers();
-        long handle = on(() -> take(front, UNSAFE, DEADLINE));
+    public void disconnectedClientGetsNoAnswer() throws Exception {
+        RecordingWorker worker = recordingWorker(false);
+        RecordedAnswers handler = new RecordedAnswers();
+        long handle = on(() -> submit(handler, UNSAFE, DEADLINE_MICROS));
         assertTrue(worker.first.await(5, TimeUnit.SECONDS));
-        assertTrue(on(() -> core.withdraw(handle)), "it may have run");
+        assertTrue(on(() -> core.withdraw(handle)), "the job may have run");
         assertTrue(!on(() -> core.withdraw(handle)));
         on(() -> {
-            worker.got.get(0).ended(Outcome.SERVED, new byte[0], Load.NONE);
+            worker.attempts.get(0).ended(Outcome.SERVED, new byte[0], Load.NONE);
             return null;
         });
-        assertEquals(front.given, List.of());
-        assertEquals(worker.calledOff, 1);
-        Answers held = new Answers();
+        assertEquals(handler.given, List.of());
+        assertEquals(worker.aborts, 1);
+        RecordedAnswers queued = new RecordedAnswers();
         assertTrue(
                 !on(() -> {
                     list(ListKind.WHOLE, WorkerState.READY, Map.of());
-                    return core.withdraw(take(held, UNSAFE, DEADLINE));
+                    return core.withdraw(submit(queued, UNSAFE, DEADLINE_MICROS));
                 }),
-                "there is nobody to send it to");
+                "no worker was available");
     }
 
     @Test
-    public void workersThatCameByThemselvesOutliveALastingList() throws Exception {
-        Keeper guest = new Keeper(false);
+    public void registeredWorkersAreKeptWhenTheListIsReplaced() throws Exception {
+        RecordingWorker registered = new RecordingWorker(false);
         on(() -> {
-            core.updateRegisteredWorker(new Worker(9, 0, 9, 0, WorkerState.READY, 0), guest);
+            core.updateRegisteredWorker(new Worker(9, 0, 9, 0, WorkerState.READY, 0), registered);
             list(ListKind.WHOLE, WorkerState.READY, Map.of());
             return null;
         });
-        on(() -> take(new Answers(), SAFE, DEADLINE));
-        assertTrue(guest.first.await(5, TimeUnit.SECONDS));
-        Answers front = new Answers();
+        on(() -> submit(new RecordedAnswers(), SAFE, DEADLINE_MICROS));
+        assertTrue(registered.first.await(5, TimeUnit.SECONDS));
+        RecordedAnswers handler = new RecordedAnswers();
         on(() -> {
-            core.updateRegisteredWorker(new Worker(9, 0, 9, 0, WorkerState.GONE, 0), guest);
-            return take(front, SAFE, DEADLINE);
+            core.updateRegisteredWorker(new Worker(9, 0, 9, 0, WorkerState.GONE, 0), registered);
+            return submit(handler, SAFE, DEADLINE_MICROS);
         });
-        assertEquals(front.await(), List.of("refused"));
+        assertEquals(handler.await(), List.of("refused"));
     }
 
-    /** A contract by force past every check can make a class stricter, never weaker. */
+    /** A contract, even one put in force in spite of failed checks, can make a class stricter but never weaker. */
     @Test
-    public void theStricterOfClassAndBondHolds() throws Exception {
-        for (Effect told : Effect.values()) {
+    public void stricterOfClassAndContractApplies() throws Exception {
+        for (Effect effect : Effect.values()) {
             for (int jobClass : new int[] {SAFE, UNSAFE}) {
                 stop();
                 start();
-                Keeper first = new Keeper(false);
-                Keeper second = new Keeper(false);
+                RecordingWorker first = new RecordingWorker(false);
+                RecordingWorker second = new RecordingWorker(false);
                 on(() -> {
                     list(ListKind.WHOLE, WorkerState.READY, Map.of(1L, first, 2L, second));
                     return null;
                 });
-                Answers front = new Answers();
-                Bound bond = new Bound(told, true);
-                on(() -> take(front, jobClass, DEADLINE, bond));
-                boolean repeats = jobClass == SAFE && told == Effect.SAFE;
-                while (first.got.isEmpty() && second.got.isEmpty()) {
+                RecordedAnswers handler = new RecordedAnswers();
+                FakeContract contract = new FakeContract(effect, true);
+                on(() -> submit(handler, jobClass, DEADLINE_MICROS, contract));
+                boolean repeats = jobClass == SAFE && effect == Effect.SAFE;
+                while (first.attempts.isEmpty() && second.attempts.isEmpty()) {
                     first.first.await(1, TimeUnit.MILLISECONDS);
                 }
-                Keeper had = first.got.isEmpty() ? second : first;
-                Keeper other = had == first ? second : first;
+                RecordingWorker firstWorker = first.attempts.isEmpty() ? second : first;
+                RecordingWorker other = firstWorker == first ? second : first;
                 on(() -> {
-                    had.got.get(0).ended(Outcome.RESET, null, Load.NONE);
+                    firstWorker.attempts.get(0).ended(Outcome.RESET, null, Load.NONE);
                     return null;
                 });
                 if (repeats) {
-                    assertTrue(other.first.await(5, TimeUnit.SECONDS), "it was not sent again");
+                    assertTrue(other.first.await(5, TimeUnit.SECONDS), "the job was not retried");
                     on(() -> {
-                        other.got.get(0).ended(Outcome.SERVED, new byte[0], Load.NONE);
+                        other.attempts.get(0).ended(Outcome.SERVED, new byte[0], Load.NONE);
                         return null;
                     });
-                    assertEquals(front.await(), List.of("served "));
+                    assertEquals(handler.await(), List.of("served "));
                 } else {
-                    assertEquals(front.await(), List.of("failed"), told + " on class " + jobClass);
-                    assertEquals(other.got.size(), 0);
+                    assertEquals(handler.await(), List.of("failed"), effect + " on class " + jobClass);
+                    assertEquals(other.attempts.size(), 0);
                 }
-                assertEquals(on(() -> bond.over).intValue(), 1);
+                assertEquals(on(() -> contract.releases).intValue(), 1);
             }
         }
     }
 
     @Test
-    public void aBadAnswerFailsTheJobAndIsNoReasonToRunItAgain() throws Exception {
-        Keeper worker = keeper(false);
-        Answers front = new Answers();
-        Bound bond = new Bound(Effect.SAFE, false);
-        on(() -> take(front, SAFE, DEADLINE, bond));
+    public void invalidResponseFailsTheJobWithoutRetry() throws Exception {
+        RecordingWorker worker = recordingWorker(false);
+        RecordedAnswers handler = new RecordedAnswers();
+        FakeContract contract = new FakeContract(Effect.SAFE, false);
+        on(() -> submit(handler, SAFE, DEADLINE_MICROS, contract));
         assertTrue(worker.first.await(5, TimeUnit.SECONDS));
         on(() -> {
-            worker.got.get(0).ended(Outcome.SERVED, "bad".getBytes(), Load.NONE);
+            worker.attempts.get(0).ended(Outcome.SERVED, "bad".getBytes(), Load.NONE);
             return null;
         });
-        assertEquals(front.await(), List.of("failed"));
-        assertEquals(worker.got.size(), 1);
-        assertEquals(on(() -> bond.over).intValue(), 1);
+        assertEquals(handler.await(), List.of("failed"));
+        assertEquals(worker.attempts.size(), 1);
+        assertEquals(on(() -> contract.releases).intValue(), 1);
         assertEquals(on(() -> core.statistics().failed(SAFE)).longValue(), 1);
     }
 
     /**
-     * Finding H5 of the hardening review: what is turned away for want of descriptors is the core's to say,
-     * for every front. It is told at once, no worker sees the job, and jobs are taken again with the room.
+     * Regression test for finding H5 of the hardening review: rejecting jobs for lack of descriptors belongs to the
+     * core, for all frontends. The rejection is immediate, no worker sees the job, and jobs are accepted again once
+     * descriptors are available.
      */
     @Test
-    public void whileConnectionsCrowdOutWorkersNoFrontsJobIsTakenAndAllAreAfterwards() throws Exception {
-        Keeper worker = new Keeper(true);
-        Answers turned = new Answers();
-        Answers over = new Answers();
-        Answers served = new Answers();
+    public void jobsAreRefusedDuringDescriptorShortageAndAcceptedAfterwards() throws Exception {
+        RecordingWorker worker = new RecordingWorker(true);
+        RecordedAnswers rejected = new RecordedAnswers();
+        RecordedAnswers overBudget = new RecordedAnswers();
+        RecordedAnswers served = new RecordedAnswers();
         LOG.setLevel(Level.OFF);
         on(() -> {
             list(ListKind.WHOLE, WorkerState.READY, Map.of(1L, worker));
             core.setDescriptorShortage(() -> true);
-            take(turned, SAFE, DEADLINE);
-            assertEquals(turned.given, List.of("refused"), "at once");
-            assertEquals(turned.wait, 2_000_000, "with when to return");
+            submit(rejected, SAFE, DEADLINE_MICROS);
+            assertEquals(rejected.given, List.of("refused"), "refused immediately");
+            assertEquals(rejected.wait, 2_000_000, "retry time");
             assertEquals(core.openRequests(), 0);
             core.setDescriptorShortage(() -> false);
             core.setAdmissionControl((now, jobClass, tenant) -> jobClass == SAFE ? 70_000 : 0);
-            take(over, SAFE, DEADLINE);
-            assertEquals(over.given, List.of("refused"), "over the fleet's budget: at once, too");
-            assertEquals(over.wait, 70_000, "with when it may come again");
+            submit(overBudget, SAFE, DEADLINE_MICROS);
+            assertEquals(overBudget.given, List.of("refused"), "over the budget of the cluster: refused immediately");
+            assertEquals(overBudget.wait, 70_000, "retry time");
             assertEquals(core.openRequests(), 0);
             core.setAdmissionControl((now, jobClass, tenant) -> 0);
-            return take(served, SAFE, DEADLINE);
+            return submit(served, SAFE, DEADLINE_MICROS);
         });
         assertTrue(worker.first.await(5, TimeUnit.SECONDS));
-        assertEquals(worker.got.size(), 1);
+        assertEquals(worker.attempts.size(), 1);
         assertEquals(on(() -> core.statistics().refused(SAFE)).longValue(), 2);
     }
 
-    /** A worker that is forgotten must have no job out: its outcome would be lost. */
+    /** A worker with an open attempt must not be forgotten, since the outcome would be lost. */
     @Test
-    public void aWorkerIsForgottenOnceItsLastAttemptHasEnded() throws Exception {
-        Keeper worker = new Keeper(false);
-        Answers front = new Answers();
+    public void workerIsForgottenOnlyAfterItsLastAttempt() throws Exception {
+        RecordingWorker worker = new RecordingWorker(false);
+        RecordedAnswers handler = new RecordedAnswers();
         on(() -> {
             list(ListKind.WHOLE, WorkerState.READY, Map.of(1L, worker));
-            return take(front, SAFE, DEADLINE);
+            return submit(handler, SAFE, DEADLINE_MICROS);
         });
         assertTrue(worker.first.await(5, TimeUnit.SECONDS));
         on(() -> {
             list(ListKind.WHOLE, WorkerState.READY, Map.of());
             assertFalse(core.tryForget(1));
-            worker.got.get(0).ended(Outcome.SERVED, "yes".getBytes(), Load.NONE);
+            worker.attempts.get(0).ended(Outcome.SERVED, "yes".getBytes(), Load.NONE);
             assertTrue(core.tryForget(1));
             return null;
         });
-        assertEquals(front.await(), List.of("served yes"));
+        assertEquals(handler.await(), List.of("served yes"));
     }
 
     /**
-     * A decision module that repeats what must not be repeated is stopped from it. On a clock of its own: on
-     * the system's, a pause of 100 ms between arrival and the period's end made the job hopeless, and it was
-     * refused before any worker saw it.
+     * The core stops a decision module that repeats a job which must not be repeated. The test uses its own clock:
+     * with the system clock, a pause of 100 ms between arrival and the end of the period left too little time for the
+     * job, which was then refused before any worker saw it.
      */
     @Test
-    public void aRogueModuleIsStopped() {
+    public void forbiddenRepeatByTheModuleIsBlocked() {
         List<Object> ended = new ArrayList<>();
         long[] nanos = {0};
-        Loop own = new Loop(faults::add, () -> nanos[0]);
-        Core guarded = new Core(own, settings, () -> {}, SiblingProcesses.none(), (now, core) -> {
+        Loop ownLoop = new Loop(errors::add, () -> nanos[0]);
+        Core guarded = new Core(ownLoop, settings, () -> {}, SiblingProcesses.none(), (now, core) -> {
             Dispatcher module = new Choice(settings, 7, now, core);
             return (Dispatcher) Proxy.newProxyInstance(
                     CoreTest.class.getClassLoader(), new Class<?>[] {Dispatcher.class}, (proxy, method, args) -> {
@@ -412,70 +413,74 @@
                         return method.invoke(module, args);
                     });
         });
-        Keeper worker = new Keeper(false);
+        RecordingWorker worker = new RecordingWorker(false);
         LOG.setLevel(Level.OFF);
         guarded.updateWorkers(
                 ListKind.WHOLE, List.of(new Worker(1, 0, 0, 0, WorkerState.READY, 0)), Map.of(1L, worker));
-        Answers paused = new Answers();
-        takeUnsafe(guarded, own, paused);
+        RecordedAnswers paused = new RecordedAnswers();
+        submitUnsafe(guarded, ownLoop, paused);
         nanos[0] += 150_000_000;
-        own.runDue();
-        assertEquals(paused.given, List.of("refused"), "no period ended while it could be in time");
-        Answers front = new Answers();
-        takeUnsafe(guarded, own, front);
-        for (int millis = 0; millis < 50 && worker.got.isEmpty(); millis++) {
+        ownLoop.runDue();
+        assertEquals(paused.given, List.of("refused"), "too little time was left at the end of the period");
+        RecordedAnswers handler = new RecordedAnswers();
+        submitUnsafe(guarded, ownLoop, handler);
+        for (int millis = 0; millis < 50 && worker.attempts.isEmpty(); millis++) {
             nanos[0] += 1_000_000;
-            own.runDue();
+            ownLoop.runDue();
         }
-        assertEquals(worker.got.size(), 1);
-        worker.got.get(0).ended(Outcome.RESET, null, Load.NONE);
-        own.runDue();
-        assertEquals(front.given, List.of("failed"));
-        assertEquals(worker.got.size(), 1, "it went out again");
+        assertEquals(worker.attempts.size(), 1);
+        worker.attempts.get(0).ended(Outcome.RESET, null, Load.NONE);
+        ownLoop.runDue();
+        assertEquals(handler.given, List.of("failed"));
+        assertEquals(worker.attempts.size(), 1, "the job was sent again");
         assertEquals(ended, List.of(Outcome.RESET, Outcome.NOT_SENT));
     }
 
-    private void takeUnsafe(Core by, Loop on, Answers front) {
-        by.submit(
-                front,
-                new JobSpec("r", SAFE, null, null, null, new byte[0], new Bound(Effect.UNSAFE, true)),
-                new RequestOptions(on.now(), 500_000, false, 0, 0, 1, 0));
+    private void submitUnsafe(Core target, Loop clock, RecordedAnswers handler) {
+        target.submit(
+                handler,
+                new JobSpec("r", SAFE, null, null, null, new byte[0], new FakeContract(Effect.UNSAFE, true)),
+                new RequestOptions(clock.now(), 500_000, false, 0, 0, 1, 0));
     }
 
-    /** Danger: exactly one final answer, and no unsafe job twice, whatever the workers and clients do. */
+    /**
+     * Each request gets exactly one final response and no unsafe job runs twice, regardless of the behaviour of
+     * workers and clients.
+     */
     @Test
-    public void everyRequestGetsOneAnswerWhateverHappens() throws Exception {
+    public void everyRequestGetsExactlyOneAnswer() throws Exception {
         for (int seed = 0; seed < 4; seed++) {
-            // A module of its own: one that has seen many failures may trade with nobody for over a second.
+            // Each seed uses a new module: after many failures a module may send nothing to any worker for over a
+            // second.
             stop();
             start();
             Random random = new Random(seed);
             Map<Long, WorkerPort> ports = new HashMap<>();
             Map<JobSpec, Integer> ran = new HashMap<>();
             for (long id = 1; id <= 4; id++) {
-                ports.put(id, new Erratic(random, ran));
+                ports.put(id, new RandomWorker(random, ran));
             }
             on(() -> {
                 list(ListKind.WHOLE, WorkerState.READY, ports);
                 return null;
             });
-            List<Answers> fronts = new ArrayList<>();
-            List<Answers> left = new ArrayList<>();
-            List<Bound> bonds = new ArrayList<>();
+            List<RecordedAnswers> connected = new ArrayList<>();
+            List<RecordedAnswers> disconnected = new ArrayList<>();
+            List<FakeContract> bonds = new ArrayList<>();
             CountDownLatch idle = new CountDownLatch(1);
             for (int i = 0; i < 300; i++) {
                 int jobClass = random.nextInt(2);
                 on(() -> {
-                    Answers front = new Answers();
-                    Bound bond = new Bound(Effect.values()[random.nextInt(3)], random.nextInt(5) > 0);
-                    bonds.add(bond);
-                    long handle = take(front, jobClass, 100_000 + random.nextInt(400_000), bond);
+                    RecordedAnswers handler = new RecordedAnswers();
+                    FakeContract contract = new FakeContract(Effect.values()[random.nextInt(3)], random.nextInt(5) > 0);
+                    bonds.add(contract);
+                    long handle = submit(handler, jobClass, 100_000 + random.nextInt(400_000), contract);
                     if (random.nextInt(20) == 0) {
-                        boolean answered = !front.given.isEmpty();
+                        boolean answered = !handler.given.isEmpty();
                         core.withdraw(handle);
-                        (answered ? fronts : left).add(front);
+                        (answered ? connected : disconnected).add(handler);
                     } else {
-                        fronts.add(front);
+                        connected.add(handler);
                     }
                     return null;
                 });
@@ -485,36 +490,36 @@
                 return null;
             });
             assertTrue(idle.await(5, TimeUnit.SECONDS), "requests were left open");
-            // Attempts that were taken back end in events of their own.
+            // Cancelled attempts end in separate events.
             on(() -> null);
             on(() -> {
-                fronts.forEach(front -> assertEquals(front.given.size(), 1, front.given.toString()));
-                left.forEach(front -> assertEquals(front.given.size(), 0, front.given.toString()));
-                ran.forEach((work, times) -> assertTrue(
-                        work.jobClass() == SAFE && work.contract().effect() == Effect.SAFE || times == 1,
+                connected.forEach(handler -> assertEquals(handler.given.size(), 1, handler.given.toString()));
+                disconnected.forEach(handler -> assertEquals(handler.given.size(), 0, handler.given.toString()));
+                ran.forEach((job, times) -> assertTrue(
+                        job.jobClass() == SAFE && job.contract().effect() == Effect.SAFE || times == 1,
                         times + " runs"));
-                bonds.forEach(bond -> assertEquals(bond.over, 1));
+                bonds.forEach(contract -> assertEquals(contract.releases, 1));
                 assertTrue(!ran.isEmpty());
                 return null;
             });
         }
     }
 
-    /** Ends its attempts in every way there is, or not at all. */
-    private final class Erratic implements WorkerPort {
+    /** A worker that ends its attempts with random outcomes, or never. */
+    private final class RandomWorker implements WorkerPort {
         private final Random random;
         private final Map<JobSpec, Integer> ran;
 
-        Erratic(Random random, Map<JobSpec, Integer> ran) {
+        RandomWorker(Random random, Map<JobSpec, Integer> ran) {
             this.random = random;
             this.ran = ran;
         }
 
         @Override
-        public void start(Attempt attempt, JobSpec work, long expires) {
+        public void start(Attempt attempt, JobSpec job, long expires) {
             Outcome outcome = Outcome.values()[random.nextInt(6)];
             if (!outcome.neverRan) {
-                ran.merge(work, 1, Integer::sum);
+                ran.merge(job, 1, Integer::sum);
             }
             if (outcome != Outcome.TIMEOUT) {
                 loop.at(loop.now() + random.nextInt(30_000), () -> {
--- a/src/test/java/gorserill/routing/Deployments.java
+++ b/src/test/java/gorserill/routing/Deployments.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Deployments drawn from seeds, within what the platform's pages allow: settings that nobody here runs. */
+/** Random deployments within the limits that the platform specifies. */
 final class Deployments {
     private Deployments() {}
 
--- a/src/test/java/gorserill/routing/ImportsTest.java
+++ b/src/test/java/gorserill/routing/ImportsTest.java
@@ -11,12 +11,12 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** The layers stay apart: the core knows no wire, and no layer reaches up. */
+/** Checks the separation of the layers: the core is independent of wire protocols, and no layer uses a higher one. */
 public class ImportsTest {
     private static final String SOURCES = "src/main/java/gorserill/";
 
-    private static List<String> naming(String folder, String... forbidden) throws IOException {
-        List<String> found = new ArrayList<>();
+    private static List<String> linesNaming(String folder, String... forbidden) throws IOException {
+        List<String> violations = new ArrayList<>();
         try (Stream<Path> files = Files.walk(Path.of(SOURCES + folder))) {
             List<Path> sources =
                     files.filter(f -> f.toString().endsWith(".java")).toList();
@@ -25,19 +25,19 @@
                 for (String line : Files.readAllLines(source)) {
                     for (String word : forbidden) {
                         if (line.contains(word)) {
-                            found.add(source + ": " + line.strip());
+                            violations.add(source + ": " + line.strip());
                         }
                     }
                 }
             }
         }
-        return found;
+        return violations;
     }
 
     @Test
-    public void theCoreKnowsNoWire() throws IOException {
+    public void coreIsIndependentOfWireProtocols() throws IOException {
         assertEquals(
-                naming(
+                linesNaming(
                         "routing",
                         "grizzly",
                         "jackson",
@@ -54,18 +54,24 @@
     }
 
     @Test
-    public void noLayerReachesUp() throws IOException {
-        assertEquals(naming("transport", "gorserill.protocol", "gorserill.routing", "gorserill.program"), List.of());
-        assertEquals(naming("protocol", "gorserill.program"), List.of());
+    public void noLayerUsesAHigherOne() throws IOException {
         assertEquals(
-                naming("common", "gorserill.protocol", "gorserill.routing", "gorserill.program", "gorserill.transport"),
+                linesNaming("transport", "gorserill.protocol", "gorserill.routing", "gorserill.program"), List.of());
+        assertEquals(linesNaming("protocol", "gorserill.program"), List.of());
+        assertEquals(
+                linesNaming(
+                        "common",
+                        "gorserill.protocol",
+                        "gorserill.routing",
+                        "gorserill.program",
+                        "gorserill.transport"),
                 List.of());
     }
 
-    /** The decision module and what stands beside it know no wire, no file and no clock of the system's. */
+    /** The decision module and its neighbours use no wire protocol, no file and no system clock. */
     @Test
-    public void decisionsAreFreeOfWireAndClock() throws IOException {
-        List<String> found = new ArrayList<>(naming(
+    public void decisionsUseNoWireProtocolOrClock() throws IOException {
+        List<String> violations = new ArrayList<>(linesNaming(
                 "../barrowflow",
                 "grizzly",
                 "jackson",
@@ -75,15 +81,17 @@
                 "currentTimeMillis",
                 "java.time",
                 "java.nio.file"));
-        found.addAll(naming("../barrowflow/gossip", "barrowflow.Choice", "barrowflow.MarketState", "java.io"));
-        found.addAll(naming("../barrowflow/probing", "barrowflow.Choice", "barrowflow.MarketState", "java.io"));
-        assertEquals(found, List.of());
+        violations.addAll(
+                linesNaming("../barrowflow/gossip", "barrowflow.Choice", "barrowflow.MarketState", "java.io"));
+        violations.addAll(
+                linesNaming("../barrowflow/probing", "barrowflow.Choice", "barrowflow.MarketState", "java.io"));
+        assertEquals(violations, List.of());
     }
 
-    /** What contracts decide needs no file, no wire and no clock; only their reader opens files. */
+    /** Contract checks need no file, wire protocol or clock; only the contract reader opens files. */
     @Test
-    public void contractsDecideByThemselves() throws IOException {
-        List<String> found = new ArrayList<>(naming(
+    public void contractChecksHaveNoExternalDependencies() throws IOException {
+        List<String> violations = new ArrayList<>(linesNaming(
                 "contract",
                 "grizzly",
                 "gorserill.protocol",
@@ -96,19 +104,19 @@
                 "nanoTime",
                 "currentTimeMillis",
                 "java.time"));
-        found.addAll(naming("contract", "java.nio.file", "java.io.File", "java.io.InputStream").stream()
+        violations.addAll(linesNaming("contract", "java.nio.file", "java.io.File", "java.io.InputStream").stream()
                 .filter(line -> !line.startsWith(SOURCES + "contract/read/"))
                 .toList());
-        assertEquals(found, List.of());
+        assertEquals(violations, List.of());
     }
 
     /**
-     * The cluster's decisions are free of I/O and clock; only its disk shelf opens a file, and nothing a
+     * The cluster's decisions are free of I/O and clock; only its disk storage opens a file, and nothing opens a
      * socket.
      */
     @Test
-    public void theClusterStandsOnItsGroundAlone() throws IOException {
-        List<String> found = new ArrayList<>(naming(
+    public void clusterDecisionsHaveNoExternalDependencies() throws IOException {
+        List<String> violations = new ArrayList<>(linesNaming(
                 "cluster",
                 "grizzly",
                 "java.net",
@@ -124,21 +132,21 @@
                 "Instant.now",
                 "LocalDate.now",
                 "Math.random"));
-        found.addAll(naming("cluster", "java.nio.file", "java.io.File").stream()
+        violations.addAll(linesNaming("cluster", "java.nio.file", "java.io.File").stream()
                 .filter(line -> !line.contains("DiskShelf.java"))
                 .toList());
-        found.addAll(naming("cluster/ownership", "cluster.member", "cluster.standing", "cluster.lab"));
-        found.addAll(
-                naming("cluster/shared", "cluster.member", "cluster.ownership", "cluster.consensus", "cluster.lab"));
-        found.addAll(naming("cluster/address", "cluster.consensus", "cluster.ownership", "cluster.lab"));
-        found.addAll(
-                naming("cluster/consensus", "cluster.member", "cluster.standing", "cluster.lab", "cluster.ownership"));
-        assertEquals(found, List.of());
+        violations.addAll(linesNaming("cluster/ownership", "cluster.member", "cluster.standing", "cluster.lab"));
+        violations.addAll(linesNaming(
+                "cluster/shared", "cluster.member", "cluster.ownership", "cluster.consensus", "cluster.lab"));
+        violations.addAll(linesNaming("cluster/address", "cluster.consensus", "cluster.ownership", "cluster.lab"));
+        violations.addAll(linesNaming(
+                "cluster/consensus", "cluster.member", "cluster.standing", "cluster.lab", "cluster.ownership"));
+        assertEquals(violations, List.of());
     }
 
-    /** Decisions are the module's: the codecs and fronts do not know it. */
+    /** Decisions are made in the decision module, on which codecs and frontends must not depend. */
     @Test
-    public void codecsDecideNothing() throws IOException {
-        assertEquals(naming("protocol", "barrowflow.Choice", "barrowflow.MarketState"), List.of());
+    public void protocolLayerDoesNotUseTheDecisionModule() throws IOException {
+        assertEquals(linesNaming("protocol", "barrowflow.Choice", "barrowflow.MarketState"), List.of());
     }
 }
