--- a/src/main/java/gorserill/common/SiblingProcesses.java
+++ b/src/main/java/gorserill/common/SiblingProcesses.java
@@ -29,7 +29,9 @@
     private final Loop loop;
     private final List<Path> slotFiles = new ArrayList<>();
     private final int reservedDescriptors;
+    /** Buffer entry of each published request, by request id. */
     private final Map<String, Integer> openEntries = new HashMap<>();
+
     private final List<Integer> freeEntries = new ArrayList<>();
     private int ownSlot = -1;
     private LongBuffer ownBuffer;
--- a/src/main/java/gorserill/protocol/ClientWaitTracker.java
+++ b/src/main/java/gorserill/protocol/ClientWaitTracker.java
@@ -11,6 +11,7 @@
  * others would make every other request a possible retry permanently.
  */
 public final class ClientWaitTracker {
+    /** Number of recent jobs that are considered. */
     private static final int SAMPLES = 64;
     /**
      * Quantile of the recent waiting times that counts as usual: up to this share of recent jobs may be retries
@@ -18,7 +19,8 @@
      */
     private static final double USUAL_QUANTILE = 0.8;
 
-    private static final int SORT_EVERY = 16;
+    /** The usual time is updated once per this many jobs, after the first ones, which update it each. */
+    private static final int JOBS_PER_UPDATE = 16;
     /** Allowance for the transmission from the client. */
     private static final long TRANSIT_MICROS = 100_000;
 
@@ -29,7 +31,7 @@
     /** Records how long a client waits, in microseconds; returns true if that is shorter than usual. */
     public boolean isShorterThanUsual(long wait) {
         samples[count++ % SAMPLES] = wait;
-        if (count % SORT_EVERY == 0 || count < SORT_EVERY) {
+        if (count % JOBS_PER_UPDATE == 0 || count < JOBS_PER_UPDATE) {
             long[] sorted = Arrays.copyOf(samples, Math.min(count, SAMPLES));
             Arrays.sort(sorted);
             usualWait = sorted[(int) (USUAL_QUANTILE * (sorted.length - 1) + 0.5)];
--- a/src/main/java/gorserill/protocol/admin/LineCodec.java
+++ b/src/main/java/gorserill/protocol/admin/LineCodec.java
@@ -38,22 +38,22 @@
             states.set(ctx.getConnection(), state);
         }
         Buffer buffer = ctx.getMessage();
-        List<Object> out = new ArrayList<>(1);
-        decode(state, buffer.toByteBuffer(), out);
+        List<Object> messages = new ArrayList<>(1);
+        decode(state, buffer.toByteBuffer(), messages);
         buffer.tryDispose();
-        ctx.setMessage(out);
-        return out.isEmpty() ? ctx.getStopAction() : ctx.getInvokeAction();
+        ctx.setMessage(messages);
+        return messages.isEmpty() ? ctx.getStopAction() : ctx.getInvokeAction();
     }
 
-    private static void decode(State state, ByteBuffer in, List<Object> out) {
+    private static void decode(State state, ByteBuffer in, List<Object> messages) {
         while (in.hasRemaining() && !state.discarding) {
             byte b = in.get();
             if (b == '\n') {
-                out.add(state.line.toString(StandardCharsets.UTF_8).strip());
+                messages.add(state.line.toString(StandardCharsets.UTF_8).strip());
                 state.line.reset();
             } else if (state.line.size() == MAX_LINE_BYTES) {
                 state.discarding = true;
-                out.add(TOO_LONG);
+                messages.add(TOO_LONG);
             } else {
                 state.line.write(b);
             }
--- a/src/main/java/gorserill/protocol/discovery/CallPace.java
+++ b/src/main/java/gorserill/protocol/discovery/CallPace.java
@@ -50,8 +50,8 @@
     private static final long AFTER_SILENCE_MS = 1_000;
     /** A busy service answers or rejects a call within this time after the call's wait. */
     private static final long QUEUE_ALLOWANCE_MS = 2_500;
-    /** Above this number of nodes, waits grow with the number. */
-    private static final int FEW_NODES = 4;
+    /** Up to this number of nodes, watches use the shortest wait; above it, waits grow with the number of nodes. */
+    private static final int SMALL_FLEET_NODES = 4;
     /**
      * Waits are shortened by a random part of up to this fraction, so that watches begun by the same change do not
      * expire together.
@@ -114,10 +114,10 @@
         } else if (lastFailed) {
             return RETRY_WAIT_MS;
         }
-        if (nodes <= FEW_NODES) {
+        if (nodes <= SMALL_FLEET_NODES) {
             return MIN_WAIT_MS;
         }
-        double mean = Math.min(MAX_WAIT_MS, (double) MIN_WAIT_MS * nodes / FEW_NODES);
+        double mean = Math.min(MAX_WAIT_MS, (double) MIN_WAIT_MS * nodes / SMALL_FLEET_NODES);
         return (long) (mean * (1 - JITTER * random.nextDouble()));
     }
 
@@ -131,7 +131,7 @@
     }
 
     private boolean delaysCalls() {
-        return !pushedLists && nodes > FEW_NODES;
+        return !pushedLists && nodes > SMALL_FLEET_NODES;
     }
 
     private long maxDelay() {
--- a/src/main/java/gorserill/routing/Core.java
+++ b/src/main/java/gorserill/routing/Core.java
@@ -460,7 +460,8 @@
             return;
         }
         if (!admissionControl.mayAttempt(attempt.number == 0)) {
-            // An attempt that the module did not count would be tried at each worker in turn, without end.
+            // The module must still see an outcome: if the attempt did not count, it would be tried at each worker in
+            // turn, without end.
             loop.execute(() -> ended(attempt, Outcome.NOT_SENT, null, Load.NONE));
             return;
         }
--- a/src/main/java/gorserill/routing/RequestOptions.java
+++ b/src/main/java/gorserill/routing/RequestOptions.java
@@ -1,13 +1,13 @@
 package gorserill.routing;
 
 /**
- * What a client states about a request beside the job itself.
+ * What a client states about a request in addition to the job itself.
  *
  * @param arrivedAt when the last byte of the request was received
  * @param timeLeft how long the client waits from then on, in microseconds
  * @param retry whether the client marked the request as a retry
  * @param tenant index of the tenant in the settings; -1 for a tenant that they do not list
- * @param key key by which jobs are routed; 0 for none
+ * @param key identifies what the job works on; 0 for none
  * @param slots worker slots that the job occupies
  * @param memory worker memory units that the job occupies
  * @param workEstimate rough estimate of the work, in microseconds of a standard core; 0 for none
--- a/src/test/java/gorserill/protocol/discovery/BusyDiscoveryTest.java
+++ b/src/test/java/gorserill/protocol/discovery/BusyDiscoveryTest.java
@@ -19,8 +19,11 @@
 public class BusyDiscoveryTest {
     private static final int NODES = 100;
     private static final int RESTARTED = 70;
+    /** Fixed cost of a call, in list lines. */
     private static final double CALL_LINES = 30;
+    /** A call that would be answered later than this is rejected. */
     private static final double TIMEOUT_S = 2;
+
     private static final double RESTARTED_AT_S = 10;
     private static final double RESTART_SPREAD_S = 0.3;
     private static final double RELEASE_BEGINS_S = 8;
@@ -49,9 +52,11 @@
         /** Lines missing from the node's list at its start, in addition to those published since. */
         double missingLines;
 
-        int known;
+        /** Index of the last publication that the node received. */
+        int knownPublication;
+
         double listeningSince;
-        boolean watches;
+        boolean watching;
 
         Node(long seed) {
             pace = new CallPace(NODES, false, seed);
@@ -70,21 +75,21 @@
         private long order;
         private double busyUntil;
         private double slowestNotice;
-        private int turnedAway;
+        private int rejected;
 
-        Fleet(double linesPerSecond, double missingLines, double publishedEvery, double linesPublished, long seed) {
+        Fleet(double linesPerSecond, double missingLines, double publishInterval, double linesPublished, long seed) {
             this.linesPerSecond = linesPerSecond;
             this.missingLines = missingLines;
             random = new SplittableRandom(seed);
             for (int i = 0; i < NODES; i++) {
                 Node node = new Node(random.nextLong());
                 nodes.add(node);
-                node.watches = i >= RESTARTED;
+                node.watching = i >= RESTARTED;
                 if (i < RESTARTED) {
                     at(RESTARTED_AT_S + random.nextDouble(RESTART_SPREAD_S), () -> start(node));
                 }
             }
-            for (double time = RELEASE_BEGINS_S; time < RELEASE_ENDS_S; time += publishedEvery) {
+            for (double time = RELEASE_BEGINS_S; time < RELEASE_ENDS_S; time += publishInterval) {
                 at(time, () -> publish(linesPublished));
             }
             while (!events.isEmpty() && events.peek().time < END_S) {
@@ -117,31 +122,31 @@
 
         private void call(Node node) {
             if (busyUntil - now > MAX_QUEUE_S) {
-                turnedAway++;
-                after(0.03, () -> turnedAway(node));
+                rejected++;
+                after(0.03, () -> rejected(node));
                 return;
             }
-            double lines = published.get(newest()).linesUpToIt - published.get(node.known).linesUpToIt;
-            double turn = Math.max(busyUntil, now);
-            busyUntil = turn + (CALL_LINES + node.missingLines + lines) / linesPerSecond;
+            double lines = published.get(newest()).linesUpToIt - published.get(node.knownPublication).linesUpToIt;
+            double begin = Math.max(busyUntil, now);
+            busyUntil = begin + (CALL_LINES + node.missingLines + lines) / linesPerSecond;
             if (busyUntil - now <= TIMEOUT_S) {
                 at(busyUntil, () -> answered(node));
             } else {
-                turnedAway++;
-                after(TIMEOUT_S, () -> turnedAway(node));
+                rejected++;
+                after(TIMEOUT_S, () -> rejected(node));
             }
         }
 
-        private void turnedAway(Node node) {
+        private void rejected(Node node) {
             // The decision module never asks for a shorter delay than a quarter to half a second.
-            double rest = Math.max(node.pace.delayAfterTurnedAway() / 1_000.0, 0.25 + random.nextDouble(0.25));
-            after(rest, () -> call(node));
+            double delay = Math.max(node.pace.delayAfterTurnedAway() / 1_000.0, 0.25 + random.nextDouble(0.25));
+            after(delay, () -> call(node));
         }
 
         private void answered(Node node) {
             node.missingLines = 0;
-            if (node.known == newest()) {
-                node.watches = true;
+            if (node.knownPublication == newest()) {
+                node.watching = true;
             } else {
                 receiveChanges(node);
                 beginWatch(node);
@@ -149,24 +154,24 @@
         }
 
         private void receiveChanges(Node node) {
-            if (node.known < newest()) {
-                double since = Math.max(node.listeningSince, published.get(node.known + 1).time);
+            if (node.knownPublication < newest()) {
+                double since = Math.max(node.listeningSince, published.get(node.knownPublication + 1).time);
                 slowestNotice = Math.max(slowestNotice, now - since);
-                node.known = newest();
+                node.knownPublication = newest();
             }
         }
 
         private void beginWatch(Node node) {
             node.pace.recordAnswer();
             busyUntil = Math.max(busyUntil, now) + WATCH_LINES / linesPerSecond;
-            node.watches = true;
+            node.watching = true;
         }
 
         private void publish(double lines) {
             published.add(new Publication(now, published.get(newest()).linesUpToIt + lines));
             for (Node node : nodes) {
-                if (node.watches) {
-                    node.watches = false;
+                if (node.watching) {
+                    node.watching = false;
                     receiveChanges(node);
                     beginWatch(node);
                 }
@@ -188,12 +193,12 @@
      */
     @Test(dataProvider = "services")
     public void everyNodeReceivesEveryChangeInTime(
-            double linesPerSecond, double missingLines, double every, double lines) {
+            double linesPerSecond, double missingLines, double interval, double lines) {
         for (long seed = 1; seed <= 20; seed++) {
-            Fleet fleet = new Fleet(linesPerSecond, missingLines, every, lines, seed);
+            Fleet fleet = new Fleet(linesPerSecond, missingLines, interval, lines, seed);
             assertTrue(
                     fleet.slowestNotice < NOTICE_LIMIT_S,
-                    "seed " + seed + ": a change was received after " + fleet.slowestNotice + " s, " + fleet.turnedAway
+                    "seed " + seed + ": a change was received after " + fleet.slowestNotice + " s, " + fleet.rejected
                             + " calls were rejected");
         }
     }
--- a/src/test/java/gorserill/routing/CoreRulesProperties.java
+++ b/src/test/java/gorserill/routing/CoreRulesProperties.java
@@ -168,29 +168,29 @@
                     "message is too long or peer messages are disabled");
             lastPeerMessage = message;
         });
-        List<Worker> all = workers.values().stream().map(FakeWorker::entry).toList();
-        core.updateWorkers(ListKind.CACHED, all, workers);
+        List<Worker> listed = workers.values().stream().map(FakeWorker::entry).toList();
+        core.updateWorkers(ListKind.CACHED, listed, workers);
     }
 
     /** Kills the process: its clients lose their connections, and workers continue what they have received. */
     private void kill() {
         open.forEach(job -> job.disconnected = true);
         open.clear();
-        workers.values().forEach(p -> p.attempts.clear());
+        workers.values().forEach(worker -> worker.attempts.clear());
     }
 
     private void arrive(SplittableRandom random) {
         ClientJob job = new ClientJob(jobs.size(), random.nextInt(classes.size()));
         jobs.add(job);
         open.add(job);
-        long left = random.nextInt(30) == 0 ? 0 : 200_000 + random.nextLong(1_300_000);
-        job.expires = now() + left;
+        long timeLeft = random.nextInt(30) == 0 ? 0 : 200_000 + random.nextLong(1_300_000);
+        job.expiresAt = now() + timeLeft;
         job.handle = core.submit(
                 job,
                 new JobSpec("j" + job.number, job.jobClass, null, "k" + job.number, null, new byte[0]),
                 new RequestOptions(
                         loop.now(),
-                        left,
+                        timeLeft,
                         random.nextInt(9) == 0,
                         random.nextInt(5) - 1,
                         0,
@@ -207,7 +207,7 @@
                 : random.nextBoolean() ? WorkerState.DRAINING : WorkerState.GONE;
         if (worker.state == WorkerState.READY) {
             worker.outOfServiceSince = Long.MAX_VALUE;
-            worker.since = loop.now();
+            worker.startedAt = loop.now();
         } else {
             worker.outOfServiceSince = Math.min(worker.outOfServiceSince, now());
         }
@@ -256,13 +256,13 @@
         for (long until = now() + micros; now() < until; loop.runDue()) {
             nanos[0] += Math.min(1_000, until - now()) * 1_000;
             for (ClientJob job : open) {
-                if (job.expires <= now() && job.expiredAt == null) {
+                if (job.expiresAt <= now() && job.expiredAt == null) {
                     job.expiredAt = job.stage();
                 }
             }
         }
         for (ClientJob job : open) {
-            assertTrue(job.expires > now() - 1_000, job + " has no answer 1 ms after its time");
+            assertTrue(job.expiresAt > now() - 1_000, job + " has no answer 1 ms after its time");
         }
     }
 
@@ -279,10 +279,10 @@
         final int number;
         final int jobClass;
         final List<String> answers = new ArrayList<>();
-        final List<TrackedAttempt> tries = new ArrayList<>();
+        final List<TrackedAttempt> attempts = new ArrayList<>();
         long handle;
         /** Microseconds of the test's clock. */
-        long expires;
+        long expiresAt;
 
         boolean disconnected;
         /** State at the end of its time, before the core aborted open attempts. */
@@ -295,7 +295,7 @@
 
         Stage stage() {
             Stage furthest = Stage.HELD;
-            for (TrackedAttempt tried : tries) {
+            for (TrackedAttempt tried : attempts) {
                 if (!tried.ended) {
                     Stage current = tried.started ? Stage.RUNNING : tried.received ? Stage.HANDED : Stage.CONNECTING;
                     furthest = current.compareTo(furthest) > 0 ? current : furthest;
@@ -304,10 +304,10 @@
             return furthest;
         }
 
-        private void answer(String what) {
+        private void answer(String answer) {
             assertFalse(disconnected, this + " was answered after its client left");
-            assertTrue(now() <= expires + 1_000, this + " was answered " + (now() - expires) + " us late");
-            answers.add(what);
+            assertTrue(now() <= expiresAt + 1_000, this + " was answered " + (now() - expiresAt) + " us late");
+            answers.add(answer);
             assertEquals(answers.size(), 1, this + " has more than one answer: " + answers);
             open.remove(this);
             if (expiredAt != null) {
@@ -351,10 +351,10 @@
         boolean started;
         boolean ended;
 
-        TrackedAttempt(Attempt attempt, FakeWorker worker, long furthest) {
+        TrackedAttempt(Attempt attempt, FakeWorker worker, long startedAt) {
             this.attempt = attempt;
             this.worker = worker;
-            this.startedAt = furthest;
+            this.startedAt = startedAt;
         }
     }
 
@@ -364,7 +364,7 @@
         final List<TrackedAttempt> attempts = new ArrayList<>();
         WorkerState state = WorkerState.READY;
         long outOfServiceSince = Long.MAX_VALUE;
-        long since;
+        long startedAt;
         boolean hangs;
 
         FakeWorker(long id) {
@@ -372,36 +372,36 @@
         }
 
         Worker entry() {
-            return new Worker(id, 0, (int) (id % 2), (int) (id % 4), state, since);
+            return new Worker(id, 0, (int) (id % 2), (int) (id % 4), state, startedAt);
         }
 
         @Override
-        public void probe(Consumer<Load> answer) {
+        public void probe(Consumer<Load> callback) {
             assertTrue(settings.loadSources().probes(), "probe sent although probes are disabled");
-            answer.accept(id % 3 == 0 ? Load.NONE : new Load(id % 5, Double.NaN));
+            callback.accept(id % 3 == 0 ? Load.NONE : new Load(id % 5, Double.NaN));
         }
 
         @Override
-        public void start(Attempt attempt, JobSpec work, long expires) {
-            ClientJob job = jobs.get(Integer.parseInt(work.id().substring(1)));
+        public void start(Attempt attempt, JobSpec spec, long expiresAt) {
+            ClientJob job = jobs.get(Integer.parseInt(spec.id().substring(1)));
             assertTrue(job.answers.isEmpty() && !job.disconnected, job + " was sent after its end");
             assertTrue(
                     outOfServiceSince == Long.MAX_VALUE || now() <= outOfServiceSince + DRAIN_GRACE_MICROS,
                     job + " was sent to worker " + id + ", reported as " + state + " " + (now() - outOfServiceSince)
                             + " us ago");
             JobClass of = classes.get(job.jobClass);
-            for (TrackedAttempt before : job.tries) {
-                if (before.received) {
+            for (TrackedAttempt earlier : job.attempts) {
+                if (earlier.received) {
                     assertTrue(of.effect() != Effect.UNSAFE, job + " may have run and was sent again");
                     assertTrue(
                             of.effect() == Effect.SAFE
-                                    || sameGroup(of, before.worker.entry(), entry())
-                                            && now() < before.startedAt + of.dedupWindow(),
+                                    || sameGroup(of, earlier.worker.entry(), entry())
+                                            && now() < earlier.startedAt + of.dedupWindow(),
                             job + " was repeated outside its group or deduplication window");
                 }
             }
             TrackedAttempt tried = new TrackedAttempt(attempt, this, now());
-            job.tries.add(tried);
+            job.attempts.add(tried);
             attempts.add(tried);
         }
 
--- a/src/test/java/gorserill/routing/CoreTest.java
+++ b/src/test/java/gorserill/routing/CoreTest.java
@@ -140,7 +140,7 @@
     private static final class RecordedAnswers implements ResponseHandler {
         final List<String> given = new ArrayList<>();
         final CountDownLatch first = new CountDownLatch(1);
-        long wait;
+        long retryAfter;
 
         private void add(String answer) {
             given.add(answer);
@@ -154,7 +154,7 @@
 
         @Override
         public void refused(long waitMicros) {
-            wait = waitMicros;
+            retryAfter = waitMicros;
             add("refused");
         }
 
@@ -181,7 +181,7 @@
         }
 
         @Override
-        public void start(Attempt attempt, JobSpec job, long expires) {
+        public void start(Attempt attempt, JobSpec job, long expiresAt) {
             attempts.add(attempt);
             first.countDown();
         }
@@ -299,21 +299,21 @@
                     first.first.await(1, TimeUnit.MILLISECONDS);
                 }
                 RecordingWorker firstWorker = first.attempts.isEmpty() ? second : first;
-                RecordingWorker other = firstWorker == first ? second : first;
+                RecordingWorker otherWorker = firstWorker == first ? second : first;
                 on(() -> {
                     firstWorker.attempts.get(0).ended(Outcome.RESET, null, Load.NONE);
                     return null;
                 });
                 if (repeats) {
-                    assertTrue(other.first.await(5, TimeUnit.SECONDS), "the job was not retried");
+                    assertTrue(otherWorker.first.await(5, TimeUnit.SECONDS), "the job was not retried");
                     on(() -> {
-                        other.attempts.get(0).ended(Outcome.SERVED, new byte[0], Load.NONE);
+                        otherWorker.attempts.get(0).ended(Outcome.SERVED, new byte[0], Load.NONE);
                         return null;
                     });
                     assertEquals(handler.await(), List.of("served "));
                 } else {
                     assertEquals(handler.await(), List.of("failed"), effect + " on class " + jobClass);
-                    assertEquals(other.attempts.size(), 0);
+                    assertEquals(otherWorker.attempts.size(), 0);
                 }
                 assertEquals(on(() -> contract.releases).intValue(), 1);
             }
@@ -354,13 +354,13 @@
             core.setDescriptorShortage(() -> true);
             submit(rejected, SAFE, DEADLINE_MICROS);
             assertEquals(rejected.given, List.of("refused"), "refused immediately");
-            assertEquals(rejected.wait, 2_000_000, "retry time");
+            assertEquals(rejected.retryAfter, 2_000_000, "retry time");
             assertEquals(core.openRequests(), 0);
             core.setDescriptorShortage(() -> false);
             core.setAdmissionControl((now, jobClass, tenant) -> jobClass == SAFE ? 70_000 : 0);
             submit(overBudget, SAFE, DEADLINE_MICROS);
             assertEquals(overBudget.given, List.of("refused"), "over the budget of the cluster: refused immediately");
-            assertEquals(overBudget.wait, 70_000, "retry time");
+            assertEquals(overBudget.retryAfter, 70_000, "retry time");
             assertEquals(core.openRequests(), 0);
             core.setAdmissionControl((now, jobClass, tenant) -> 0);
             return submit(served, SAFE, DEADLINE_MICROS);
@@ -466,14 +466,14 @@
             });
             List<RecordedAnswers> connected = new ArrayList<>();
             List<RecordedAnswers> disconnected = new ArrayList<>();
-            List<FakeContract> bonds = new ArrayList<>();
+            List<FakeContract> contracts = new ArrayList<>();
             CountDownLatch idle = new CountDownLatch(1);
             for (int i = 0; i < 300; i++) {
                 int jobClass = random.nextInt(2);
                 on(() -> {
                     RecordedAnswers handler = new RecordedAnswers();
                     FakeContract contract = new FakeContract(Effect.values()[random.nextInt(3)], random.nextInt(5) > 0);
-                    bonds.add(contract);
+                    contracts.add(contract);
                     long handle = submit(handler, jobClass, 100_000 + random.nextInt(400_000), contract);
                     if (random.nextInt(20) == 0) {
                         boolean answered = !handler.given.isEmpty();
@@ -498,7 +498,7 @@
                 ran.forEach((job, times) -> assertTrue(
                         job.jobClass() == SAFE && job.contract().effect() == Effect.SAFE || times == 1,
                         times + " runs"));
-                bonds.forEach(contract -> assertEquals(contract.releases, 1));
+                contracts.forEach(contract -> assertEquals(contract.releases, 1));
                 assertTrue(!ran.isEmpty());
                 return null;
             });
@@ -516,7 +516,7 @@
         }
 
         @Override
-        public void start(Attempt attempt, JobSpec job, long expires) {
+        public void start(Attempt attempt, JobSpec job, long expiresAt) {
             Outcome outcome = Outcome.values()[random.nextInt(6)];
             if (!outcome.neverRan) {
                 ran.merge(job, 1, Integer::sum);
