--- a/src/test/java/gorserill/program/LifecycleTest.java
+++ b/src/test/java/gorserill/program/LifecycleTest.java
@@ -91,7 +91,9 @@
     public void theEndWaitsForClientsThatAreStillConnected() {
         Ending node = new Ending();
         node.passes(2_300);
-        assertEquals(node.told, List.of("welcome true", "welcome false", "listening ends", "LAST", "close idle"));
+        assertEquals(
+                node.told,
+                List.of("welcome true", "welcome false", "listening ends", "ONE_MORE_PER_CONNECTION", "close idle"));
         node.passes(700);
         assertFalse(node.told.contains("ended"));
         node.empty = true;
