--- a/src/main/java/gorserill/transport/Channel.java
+++ b/src/main/java/gorserill/transport/Channel.java
@@ -11,86 +11,99 @@
 import org.glassfish.grizzly.WriteResult;
 import org.glassfish.grizzly.nio.NIOConnection;
 
-/** A connection in the table of connections. */
+/**
+ * One TCP connection: writes, flow control of reads, and its state in the budget of file descriptors. Grizzly reads
+ * from it on the selector's thread; what was read is processed on the loop's thread.
+ */
 public final class Channel {
-    /** Reads that may wait for the loop; beyond that the connection is not read. */
-    private static final int MOST_HANDED_OVER = 4;
+    /** Reads that may be queued for the loop before reading from the connection is paused. */
+    private static final int MAX_QUEUED_READS = 4;
     /**
-     * An accepted connection is read on until these hold so many bytes. Danger: one that is not read does not
-     * show its close, and a client that has gone would have its requests begun.
+     * An accepted connection is read even beyond {@link #MAX_QUEUED_READS}, until the queued reads hold more than this
+     * many bytes. The close of a paused connection is not seen, so requests of a client that has disconnected would be
+     * started.
      */
-    private static final int MOST_UNTAKEN = 32 * 1024;
+    private static final int MAX_UNPROCESSED_BYTES = 32 * 1024;
     /**
-     * Once reading goes on, what was on its way has come when nothing has for so long. Danger: a read that leaves
-     * nothing behind is not the last one, since the other side's bytes come as the system has room for them.
+     * After reading resumes, the connection has caught up once nothing was read for this long. An empty receive buffer
+     * alone does not show that: the remote side's kernel sends more only as space in the buffer becomes free.
      */
-    private static final long CAUGHT_UP_NANOS = 50_000_000;
+    private static final long CATCH_UP_NANOS = 50_000_000;
 
-    /** After its last answer a connection's input is thrown away so far; beyond that it is not read. */
-    private static final int MOST_DISCARDED = 128 * 1024;
+    /** Input that is discarded after the last message; beyond that the connection is no longer read. */
+    private static final int MAX_DISCARDED_BYTES = 128 * 1024;
 
     private final Connection<Object> connection;
     private final DescriptorBudget descriptors;
     private final Consumer<Runnable> onSelector;
     private final ReadBarrier barrier;
-    final ChannelListener peer;
+    final ChannelListener listener;
+    /** The handle in the transport's table of connections. */
     long handle;
-    private int handedOver;
-    /** Bytes read since the loop had taken all reads but one; not counted where this side connected. */
-    private int untaken;
+    /** Reads queued for the loop and not processed yet. */
+    private int queuedReads;
+    /** Bytes read since at most one read was queued; always 0 on outgoing connections. */
+    private int unprocessedBytes;
 
-    private boolean counted;
-    /** How often something was handed over, since the beginning. */
-    private long reads;
+    /** True on accepted connections once something was read. */
+    private boolean countsBytes;
+    /** Reads queued for the loop since the connection was opened. */
+    private long totalReads;
 
     private boolean paused;
-    private boolean behind;
-    /** When something was read, or reading began again. */
-    private long lastRead;
+    /** Whether reading was paused and the input may not be read completely yet; see {@link #isReadLagging}. */
+    private boolean lagging;
+    /** Time of the last read, or of the last resumption of reading. */
+    private long lastReadNanos;
 
+    /** Whether the last message was sent and input is discarded. */
     private volatile boolean lingering;
-    private int discarded;
 
-    /** @param onSelector runs something on the thread that reads from the connection */
+    private int discardedBytes;
+
+    /** @param onSelector runs a task on the thread that reads from the connection */
     Channel(
             Connection<Object> connection,
-            ChannelListener peer,
+            ChannelListener listener,
             DescriptorBudget descriptors,
             Consumer<Runnable> onSelector,
             ReadBarrier barrier) {
         this.onSelector = onSelector;
         this.barrier = barrier;
         this.connection = connection;
-        this.peer = peer;
+        this.listener = listener;
         this.descriptors = descriptors;
     }
 
-    /** A message on its way out. */
+    /** A message that is being written. */
     public static final class PendingWrite {
         private volatile boolean written;
 
         private PendingWrite() {}
 
-        /** Whether its last byte has been written to the socket. */
+        /** Whether the last byte of the message has been written to the socket. */
         public boolean isWritten() {
             return written;
         }
     }
 
-    /** Sends a message that the chain's codec can encode. */
+    /** Writes a message that the codec of the filter chain can encode. */
     public PendingWrite write(Object message) {
         return send(message, () -> {});
     }
 
-    /** The same; tells once the last byte has been written, on whichever thread that is. */
+    /**
+     * Like {@link #write(Object)}; calls {@code written} once the last byte has been written, on whichever thread that
+     * happens.
+     */
     public PendingWrite write(Object message, Runnable written) {
         return send(message, written);
     }
 
     /**
-     * Sends a last message and ends the sending, but leaves the connection open for its peer to read that:
-     * closing on what is still unread would reset it, and the message might be lost. What comes meanwhile is
-     * thrown away. The caller closes later, should the peer not do so.
+     * Writes a last message and shuts down output, but leaves the connection open so that the remote side can read the
+     * message: closing a socket with unread input resets the connection, and the message might be lost. Input is
+     * discarded meanwhile. The caller closes the connection later if the remote side does not.
      */
     public void writeAndLinger(Object message) {
         lingering = true;
@@ -98,7 +111,7 @@
         send(message, this::shutdownOutput);
     }
 
-    /** Ends the sending; what comes is read on. */
+    /** Shuts down output; input is still read. */
     public void shutdownOutput() {
         try {
             ((SocketChannel) ((NIOConnection) (Closeable) connection).getChannel()).shutdownOutput();
@@ -107,15 +120,15 @@
         }
     }
 
-    private PendingWrite send(Object message, Runnable then) {
-        PendingWrite sending = new PendingWrite();
-        // Only completed() proves that the last byte left: a write that is refused at once, say on a
-        // connection closed a moment ago, must not count as sent.
+    private PendingWrite send(Object message, Runnable onWritten) {
+        PendingWrite pending = new PendingWrite();
+        // Only completed() shows that the last byte was written: a write that fails at once, for example on a
+        // connection that has just been closed, must not count as sent.
         connection.write(message, new EmptyCompletionHandler<WriteResult<Object, Object>>() {
             @Override
             public void completed(WriteResult<Object, Object> result) {
-                sending.written = true;
-                then.run();
+                pending.written = true;
+                onWritten.run();
             }
 
             @Override
@@ -123,87 +136,91 @@
                 connection.terminateSilently();
             }
         });
-        return sending;
+        return pending;
     }
 
-    /** Nothing is owed on it: it may be closed when descriptors run short. */
+    /** No answer is outstanding on this connection: it may be closed when file descriptors run short. */
     public void markIdle() {
-        rest(true);
+        updateIdleState(true);
     }
 
-    /** The same for one that has not yet brought anything of use: such go first. */
+    /** Like {@link #markIdle}, for a connection without a valid request so far; such connections are closed first. */
     public void markUnproven() {
-        rest(false);
+        updateIdleState(false);
     }
 
-    /** Danger: a message that waits for the loop is taken, and closing on it would lose it. */
-    private synchronized void rest(boolean proven) {
-        if (handedOver == 0 && proven) {
+    /** Does nothing while a read is queued for the loop: closing the connection would lose a received message. */
+    private synchronized void updateIdleState(boolean proven) {
+        if (queuedReads == 0 && proven) {
             descriptors.markIdle(this);
-        } else if (handedOver == 0) {
+        } else if (queuedReads == 0) {
             descriptors.markUnproven(this);
         }
     }
 
-    /** On the selector's thread: so much was read from a connection that was accepted. */
+    /** On the selector's thread: {@code bytes} were read from this accepted connection. */
     synchronized void bytesRead(int bytes) {
-        counted = true;
-        untaken += bytes;
-        lastRead = System.nanoTime();
+        countsBytes = true;
+        unprocessedBytes += bytes;
+        lastReadNanos = System.nanoTime();
     }
 
     /**
-     * On the selector's thread: something waits for the loop, whose queue has no bound of its own.
+     * On the selector's thread: a read was queued for the loop. Pauses reading when too much is queued, since the
+     * loop's queue itself is unbounded.
      *
-     * @param whole whether it is more than the beginning of a message
-     * @param pauses whether reading may stop until the loop has caught up
+     * @param complete whether more than the beginning of a message was read
+     * @param mayPause whether reading may be paused until the loop has caught up
      */
-    synchronized void readQueued(boolean whole, boolean pauses) {
-        if (whole) {
+    synchronized void readQueued(boolean complete, boolean mayPause) {
+        if (complete) {
             descriptors.markBusy(this);
         }
-        reads++;
-        if (++handedOver > MOST_HANDED_OVER && pauses && !paused && (!counted || untaken > MOST_UNTAKEN)) {
+        totalReads++;
+        if (++queuedReads > MAX_QUEUED_READS
+                && mayPause
+                && !paused
+                && (!countsBytes || unprocessedBytes > MAX_UNPROCESSED_BYTES)) {
             paused = true;
-            behind = counted;
-            read(false);
+            lagging = countsBytes;
+            setReading(false);
         }
     }
 
-    /** On the loop's thread: it has taken what was handed over first. */
+    /** On the loop's thread: the oldest queued read is now processed. */
     synchronized void readTaken() {
-        if (--handedOver <= 1) {
-            untaken = 0;
+        if (--queuedReads <= 1) {
+            unprocessedBytes = 0;
         }
-        if (handedOver <= 1 && paused) {
+        if (queuedReads <= 1 && paused) {
             paused = false;
-            lastRead = System.nanoTime();
-            read(true);
+            lastReadNanos = System.nanoTime();
+            setReading(true);
         }
     }
 
     /**
-     * Closes it, on which nothing is owed, unless something comes before. Danger: reads are made on the
-     * selector's thread; closed on any other, a connection may just have been read from, and what came would
-     * be carried out for a client that is told nothing. There, all that was read is handed over, and what is
-     * not read yet the client sees refused, and sends anew.
+     * Closes an idle connection, unless something is read before. The close happens on the selector's thread, which
+     * also makes the reads: on any other thread the connection might just have been read from, and the request would
+     * be carried out for a client that gets no answer. On the selector's thread all that was read is already queued;
+     * for what is not read yet the client sees a closed connection and sends the request again.
      */
     public synchronized void closeIfIdle() {
-        long seen = reads;
-        if (handedOver == 0) {
-            onSelector.accept(() -> closeUnlessRead(seen));
+        long readsBefore = totalReads;
+        if (queuedReads == 0) {
+            onSelector.accept(() -> closeUnlessRead(readsBefore));
         }
     }
 
-    private synchronized void closeUnlessRead(long seen) {
-        if (reads == seen) {
+    private synchronized void closeUnlessRead(long readsBefore) {
+        if (totalReads == readsBefore) {
             close();
         }
     }
 
-    private void read(boolean on) {
+    private void setReading(boolean enabled) {
         try {
-            if (on) {
+            if (enabled) {
                 connection.enableIOEvent(IOEvent.READ);
             } else {
                 connection.disableIOEvent(IOEvent.READ);
@@ -213,50 +230,50 @@
         }
     }
 
-    /** On the selector's thread: whether input after the last answer was thrown away. */
+    /** On the selector's thread: discards input that follows the last message, and returns whether it did. */
     boolean discardIfLingering(Buffer input) {
         if (lingering) {
-            discarded += input.remaining();
+            discardedBytes += input.remaining();
             input.tryDispose();
-            if (discarded > MOST_DISCARDED) {
-                // Danger: reading tens of megabytes for nothing would take the CPU from other clients.
-                read(false);
+            if (discardedBytes > MAX_DISCARDED_BYTES) {
+                // Reading tens of megabytes only to discard them would take CPU time from other clients.
+                setReading(false);
             }
         }
         return lingering;
     }
 
-    /** Closes at once, dropping what is not yet written. */
+    /** Closes the connection at once; data not yet written is dropped. */
     public void close() {
         connection.terminateSilently();
     }
 
-    /** Whether it has ended; any thread may ask, and may know before the peer has heard of it. */
+    /** Whether the connection is closed; callable on any thread, and true possibly before the listener is notified. */
     public boolean isClosed() {
         return !connection.isOpen();
     }
 
-    /** Whether reading was paused and has not caught up: its close may not have been seen. */
+    /** Whether reading was paused and has not caught up, so that a close by the remote side may not be seen yet. */
     public synchronized boolean isReadLagging() {
-        boolean caughtUp = !paused && System.nanoTime() - lastRead >= CAUGHT_UP_NANOS;
-        behind &= !caughtUp;
-        return behind;
+        boolean caughtUp = !paused && System.nanoTime() - lastReadNanos >= CATCH_UP_NANOS;
+        lagging &= !caughtUp;
+        return lagging;
     }
 
     /**
-     * Runs something on the loop's thread, at once or in a moment: when all is taken in that the other sides of
-     * all connections, this one or others, did until a moment ago ({@link ReadBarrier}).
+     * Runs a task on the loop's thread, at once or a little later: after the loop has processed what could recently be
+     * read from all connections, including closes ({@link ReadBarrier}).
      */
-    public void runAfterReads(Runnable then) {
-        barrier.runAfterReads(((NIOConnection) (Closeable) connection).getSelectorRunner(), then);
+    public void runAfterReads(Runnable task) {
+        barrier.runAfterReads(((NIOConnection) (Closeable) connection).getSelectorRunner(), task);
     }
 
-    /** Its number in the table of connections, for logs. */
+    /** The index in the table of connections, for log lines. */
     public String tableIndex() {
         return Long.toString(handle & 0xfffff);
     }
 
-    /** The other side's address, for logs. */
+    /** The address of the remote side, for log lines. */
     public String remoteAddress() {
         return String.valueOf(connection.getPeerAddress());
     }
--- a/src/main/java/gorserill/transport/ChannelListener.java
+++ b/src/main/java/gorserill/transport/ChannelListener.java
@@ -1,27 +1,28 @@
 package gorserill.transport;
 
-/** Who a connection's events are for. All of it is called on the loop's thread, in order. */
+/** Receives the events of one connection. All methods are called on the loop's thread, in the order of the events. */
 public interface ChannelListener {
-    /** A codec's word that a message has begun and is not whole yet. */
+    /** Passed up by a codec when a message has begun and is not complete yet. */
     Object PARTIAL_MESSAGE = new Object();
 
-    /** The connection is up. */
+    /** The connection is established. */
     void opened(Channel channel);
 
-    /** The codec of the connection's chain made out a message. */
+    /** The codec of the connection's filter chain decoded a message. */
     void received(Object message);
 
-    /** The connection is gone; nothing more comes of it. */
+    /** The connection is closed; no event follows. */
     void closed();
 
-    /** The connection never came up; comes instead of all the rest. */
-    default void connectFailed(String why) {}
+    /** The connection could not be established; called instead of all other methods. */
+    default void connectFailed(String reason) {}
 
     /**
-     * The connection was never tried: this process has no descriptor left for it, by its budget or by the
-     * system's limit (EMFILE). It says nothing of the other side. Comes instead of all the rest.
+     * The connection was not attempted, or failed locally: this process has no file descriptor left for it, by its
+     * budget or by the system's limit (EMFILE). This says nothing about the remote side. Called instead of all other
+     * methods.
      */
-    default void noDescriptor(String why) {
-        connectFailed(why);
+    default void noDescriptor(String reason) {
+        connectFailed(reason);
     }
 }
--- a/src/main/java/gorserill/transport/DatagramTransport.java
+++ b/src/main/java/gorserill/transport/DatagramTransport.java
@@ -23,60 +23,63 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * One UDP socket, with a selector thread of its own: datagrams go out from where they come in. It is made
- * only where something is to be sent that way. What comes in is handed to the loop; datagrams that come
- * faster than the loop takes them are dropped, since whoever sends them counts on some being lost.
+ * One UDP socket with a selector thread of its own, for sending and receiving. It is created only where datagrams are
+ * used. Received datagrams are queued for the loop; those that arrive faster than the loop processes them are dropped,
+ * which the senders allow for, as UDP loses datagrams anyway.
  */
 public final class DatagramTransport {
     private static final Logger LOG = Logger.getLogger(DatagramTransport.class.getName());
-    /** Datagrams that wait for the loop. Danger: a flood must not fill the memory. */
-    private static final int WAITING = 256;
+    /** Datagrams that may be queued for the loop; bounded so that a flood of them does not exhaust memory. */
+    private static final int MAX_QUEUED_DATAGRAMS = 256;
 
     private final Loop loop;
     private final UDPNIOTransport nio;
     private final Connection<SocketAddress> socket;
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final AtomicInteger queued = new AtomicInteger();
     private volatile long dropped;
 
     /**
-     * @param most bytes that are read of a datagram; one more than are lawful shows that it is too long
-     * @param heard a datagram's sender and bytes, on the loop's thread
-     * @throws IOException where the address can't be had
+     * @param address the local address to bind
+     * @param maxBytes how many bytes of a datagram are read; one more than the longest valid datagram, so that longer
+     *     ones are recognised
+     * @param onDatagram receives the sender and the bytes of each datagram, on the loop's thread
+     * @throws IOException if the address can't be bound
      */
-    public DatagramTransport(Loop loop, InetSocketAddress at, int most, BiConsumer<InetSocketAddress, byte[]> heard)
+    public DatagramTransport(
+            Loop loop, InetSocketAddress address, int maxBytes, BiConsumer<InetSocketAddress, byte[]> onDatagram)
             throws IOException {
         this.loop = loop;
-        ThreadPoolConfig one = ThreadPoolConfig.defaultConfig()
+        ThreadPoolConfig selectorThread = ThreadPoolConfig.defaultConfig()
                 .copy()
                 .setPoolName("datagrams")
                 .setCorePoolSize(1)
                 .setMaxPoolSize(1);
         nio = UDPNIOTransportBuilder.newInstance()
                 .setIOStrategy(SameThreadIOStrategy.getInstance())
-                .setSelectorThreadPoolConfig(one)
+                .setSelectorThreadPoolConfig(selectorThread)
                 .setSelectorRunnersCount(1)
                 .setMemoryManager(new HeapMemoryManager(0))
-                .setReadBufferSize(most)
+                .setReadBufferSize(maxBytes)
                 .build();
         nio.setProcessor(FilterChainBuilder.stateless()
                 .add(new TransportFilter())
-                .add(new Reading(heard))
+                .add(new ReceiveFilter(onDatagram))
                 .build());
         try {
             nio.start();
-            socket = nio.bind(at);
+            socket = nio.bind(address);
         } catch (IOException e) {
             nio.shutdownNow();
             throw e;
         }
     }
 
-    /** Sends one datagram; whether it arrives is not known. Any thread may call it. */
+    /** Sends one datagram; its delivery is not confirmed. Callable on any thread. */
     public void send(InetSocketAddress to, byte[] bytes) {
         socket.write(to, Buffers.wrap(nio.getMemoryManager(), bytes), null);
     }
 
-    /** Datagrams that came faster than the loop took them. */
+    /** How many datagrams were dropped because they arrived faster than the loop processed them. */
     public long dropped() {
         return dropped;
     }
@@ -85,15 +88,15 @@
         try {
             nio.shutdownNow();
         } catch (IOException e) {
-            LOG.log(Level.FINE, "the datagrams did not stop cleanly", e);
+            LOG.log(Level.FINE, "the UDP transport did not shut down cleanly", e);
         }
     }
 
-    private final class Reading extends BaseFilter {
-        private final BiConsumer<InetSocketAddress, byte[]> heard;
+    private final class ReceiveFilter extends BaseFilter {
+        private final BiConsumer<InetSocketAddress, byte[]> onDatagram;
 
-        Reading(BiConsumer<InetSocketAddress, byte[]> heard) {
-            this.heard = heard;
+        ReceiveFilter(BiConsumer<InetSocketAddress, byte[]> onDatagram) {
+            this.onDatagram = onDatagram;
         }
 
         @Override
@@ -103,13 +106,13 @@
             message.get(bytes);
             message.tryDispose();
             InetSocketAddress from = (InetSocketAddress) ctx.getAddress();
-            if (waiting.incrementAndGet() > WAITING) {
-                waiting.decrementAndGet();
+            if (queued.incrementAndGet() > MAX_QUEUED_DATAGRAMS) {
+                queued.decrementAndGet();
                 dropped++;
             } else {
                 loop.execute(() -> {
-                    waiting.decrementAndGet();
-                    heard.accept(from, bytes);
+                    queued.decrementAndGet();
+                    onDatagram.accept(from, bytes);
                 });
             }
             return ctx.getStopAction();
--- a/src/main/java/gorserill/transport/DescriptorBudget.java
+++ b/src/main/java/gorserill/transport/DescriptorBudget.java
@@ -7,89 +7,95 @@
 import java.util.Set;
 
 /**
- * The budget of descriptors. Accepted connections get at most a share of it, so that workers and discovery
- * can always be reached; when that is used up, those on which nothing is owed make room, first the oldest of
- * those that never brought anything of use, then whichever rests longest. Any thread may call it.
+ * The budget of file descriptors. Accepted connections get at most a share of it, so that the node can always connect
+ * to workers and discovery. When that share or the whole budget is used up, accepted connections with no outstanding
+ * answer are closed: first the oldest of those that never sent a valid request, then the one that has been idle
+ * longest. All methods are callable on any thread.
  */
 final class DescriptorBudget {
     private final int budget;
-    private final int mostAccepted;
+    private final int maxAccepted;
     private final SiblingProcesses siblings;
-    private int all;
+    private int inUse;
     private int accepted;
-    /** Both in the order in which they came to be so. */
+    /** Accepted connections without a valid request so far, oldest first. */
     private final Set<Channel> unproven = new LinkedHashSet<>();
 
-    private final Set<Channel> resting = new LinkedHashSet<>();
+    /** Idle connections that have sent a valid request, longest idle first. */
+    private final Set<Channel> idle = new LinkedHashSet<>();
 
     /**
-     * @param budget the most connections of all kinds together
-     * @param mostAccepted the most of them that others may open
-     * @param siblings who hold part of the budget, too
+     * @param budget the maximum number of connections of all kinds
+     * @param maxAccepted the maximum number of accepted connections among them
+     * @param siblings other processes of this node, which use part of the same budget
      */
-    DescriptorBudget(int budget, int mostAccepted, SiblingProcesses siblings) {
+    DescriptorBudget(int budget, int maxAccepted, SiblingProcesses siblings) {
         this.siblings = siblings;
         this.budget = budget;
-        this.mostAccepted = mostAccepted;
+        this.maxAccepted = maxAccepted;
     }
 
-    /** Takes a descriptor for a connection to be opened; false where none is left. */
+    /** Acquires a descriptor for an outgoing connection; false if none is available. */
     synchronized boolean tryAcquire() {
-        if (all >= left()) {
+        if (inUse >= limit()) {
             return false;
         }
-        count(1);
+        addInUse(1);
         return true;
     }
 
+    /** Releases the descriptor of an outgoing connection. */
     synchronized void release() {
-        count(-1);
+        addInUse(-1);
     }
 
-    private void count(int more) {
-        all += more;
-        siblings.reportConnections(all);
+    private void addInUse(int change) {
+        inUse += change;
+        siblings.reportConnections(inUse);
     }
 
-    private int left() {
+    private int limit() {
         return budget - siblings.descriptorsElsewhere();
     }
 
-    /** A connection was accepted; gives one to close for it, or null, or the new one itself. */
+    /**
+     * Counts an accepted connection. Returns the connection to close in its favour, the new one itself if no other can
+     * be closed, or null if there is room.
+     */
     synchronized Channel registerAccepted(Channel channel) {
-        count(1);
+        addInUse(1);
         accepted++;
-        Channel least = accepted <= mostAccepted && all <= left() ? null : least(channel);
+        Channel toClose = accepted <= maxAccepted && inUse <= limit() ? null : leastUseful(channel);
         unproven.add(channel);
-        return least;
+        return toClose;
     }
 
-    private Channel least(Channel otherwise) {
-        for (Set<Channel> candidates : List.of(unproven, resting)) {
+    private Channel leastUseful(Channel fallback) {
+        for (Set<Channel> candidates : List.of(unproven, idle)) {
             Iterator<Channel> oldest = candidates.iterator();
             if (oldest.hasNext()) {
-                Channel found = oldest.next();
+                Channel channel = oldest.next();
                 oldest.remove();
-                return found;
+                return channel;
             }
         }
-        return otherwise;
+        return fallback;
     }
 
     synchronized void releaseAccepted(Channel channel) {
         markBusy(channel);
-        count(-1);
+        addInUse(-1);
         accepted--;
     }
 
     synchronized void markBusy(Channel channel) {
         unproven.remove(channel);
-        resting.remove(channel);
+        idle.remove(channel);
     }
 
     synchronized void markIdle(Channel channel) {
         markBusy(channel);
-        resting.add(channel);
+        idle.add(channel);
     }
 
     synchronized void markUnproven(Channel channel) {
@@ -97,12 +103,12 @@
         unproven.add(channel);
     }
 
-    /** Whether next to nothing is left to open connections with. */
+    /** Whether less than a sixteenth of the budget is free for new connections. */
     synchronized boolean isNearLimit() {
-        return all > left() - budget / 16;
+        return inUse > limit() - budget / 16;
     }
 
     synchronized int inUse() {
-        return all;
+        return inUse;
     }
 }
--- a/src/main/java/gorserill/transport/LoopHandoffFilter.java
+++ b/src/main/java/gorserill/transport/LoopHandoffFilter.java
@@ -7,46 +7,47 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
 
-/** The last filter of every chain: hands what the codec made out to the loop's thread. */
+/** The last filter of every chain: queues the messages that the codec decoded for the loop's thread. */
 final class LoopHandoffFilter extends BaseFilter {
     private static final List<Object> ONLY_PARTIAL_MESSAGE = List.of(ChannelListener.PARTIAL_MESSAGE);
 
-    private final Executor lane;
+    private final Executor executor;
     private final Attribute<Channel> channels;
-    private final Runnable read;
-    /** Whether reading stops for a while where the loop is behind with what was read. */
-    private final boolean pauses;
+    private final Runnable onRead;
+    /** Whether reading is paused while the loop lags behind. */
+    private final boolean mayPause;
 
-    LoopHandoffFilter(Executor lane, Attribute<Channel> channels) {
-        this(lane, channels, () -> {}, true);
+    LoopHandoffFilter(Executor executor, Attribute<Channel> channels) {
+        this(executor, channels, () -> {}, true);
     }
 
-    private LoopHandoffFilter(Executor lane, Attribute<Channel> channels, Runnable read, boolean pauses) {
-        this.lane = lane;
+    private LoopHandoffFilter(Executor executor, Attribute<Channel> channels, Runnable onRead, boolean mayPause) {
+        this.executor = executor;
         this.channels = channels;
-        this.read = read;
-        this.pauses = pauses;
+        this.onRead = onRead;
+        this.mayPause = mayPause;
     }
 
     /**
-     * For connections whose codec bounds what comes, and whose statements must not wait unread.
+     * For connections that report state, such as discovery's: they are never paused, as a report must not wait unread,
+     * and their codec bounds the input.
      *
-     * @param read is told, on the selector's thread, of each read
+     * @param onRead called on the selector's thread at each read
      */
-    static LoopHandoffFilter forStateUpdates(Executor lane, Attribute<Channel> channels, Runnable read) {
-        return new LoopHandoffFilter(lane, channels, read, false);
+    static LoopHandoffFilter forStateUpdates(Executor executor, Attribute<Channel> channels, Runnable onRead) {
+        return new LoopHandoffFilter(executor, channels, onRead, false);
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
         Channel channel = channels.get(ctx.getConnection());
         Object message = ctx.getMessage();
-        read.run();
+        onRead.run();
         if (channel != null) {
-            channel.readQueued(!ONLY_PARTIAL_MESSAGE.equals(message), pauses);
-            lane.execute(() -> {
+            channel.readQueued(!ONLY_PARTIAL_MESSAGE.equals(message), mayPause);
+            executor.execute(() -> {
                 channel.readTaken();
-                channel.peer.received(message);
+                channel.listener.received(message);
             });
         }
         return ctx.getStopAction();
--- a/src/main/java/gorserill/transport/ReadBarrier.java
+++ b/src/main/java/gorserill/transport/ReadBarrier.java
@@ -7,169 +7,179 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Holds a write back until whatever could be read before it has been read and taken in. Of two kinds of facts it knows
- * how old the present knowledge may be:
+ * Delays a write until all input that could have been read before it has been read and processed. It bounds the age
+ * of two kinds of knowledge:
  *
  * <ul>
- *   <li>that a connection has ended, which the selector's thread marks as it reads, and everybody sees at once;
- *   <li>what was said on a connection, which waits in the loop's queue. Danger: a barrier that overtakes that queue
- *       lets a write pass before a list that has already been read.
+ *   <li>which connections are closed: the selector's thread notices a close as it reads, and it is visible to all
+ *       threads at once;
+ *   <li>what was reported on a connection: it waits in the loop's queue. A barrier that overtook that queue would let
+ *       a write pass before a worker list that has already been read.
  * </ul>
  *
- * <p>A process can be stopped, or held up by the machine or the collector, and either thread may be the first to go
- * on; so both ages count from the moment at which a pass over all connections was asked for. A write that can't be
- * shown to be within them waits, until what it belongs to is given up. All runs on the loop's thread but where it says
- * otherwise.
+ * <p>A process can be stopped, or held up by the machine or by the garbage collector, and either thread may be the
+ * first to continue. Both ages are therefore counted from the moment at which a pass over all connections was
+ * requested. A write for which the bounds can't be shown waits until its job is given up. All methods run on the
+ * loop's thread unless stated otherwise.
  */
 final class ReadBarrier {
-    /** Connections that were seen open so long ago count as open, in microseconds. */
+    /** How long a connection that was seen open counts as open, in microseconds. */
     static final long MAX_CLOSE_AGE_MICROS = 50_000;
-    /** All connections are read at least this often while {@link #startPeriodicPasses} goes on, in milliseconds. */
-    private static final int BEAT = 50;
-    /** What is read without a pass for longer may have come at any time since, in microseconds. */
-    private static final long MOST_UNREAD = 100_000;
-    /** Passes over the connections, one after another, while more may come of what was read. */
-    private static final int MOST_PASSES = 1_000;
+    /** Interval of the periodic passes ({@link #startPeriodicPasses}), in milliseconds. */
+    private static final int PASS_INTERVAL_MS = 50;
+    /**
+     * Time without a completed pass, in microseconds, after which input that is read may have arrived at any moment
+     * since the last pass.
+     */
+    private static final long MAX_PASS_GAP_MICROS = 100_000;
+    /** Maximum number of successive passes while a read may be followed by more input. */
+    private static final int MAX_SUCCESSIVE_PASSES = 1_000;
 
     private final Loop loop;
     private final TCPNIOTransport nio;
-    private final long mostFactAge;
-    /** When the last pass was asked for that has been made; written on the selector's thread. */
-    private volatile long readAt = Long.MIN_VALUE / 2;
-    /** The same of the last pass all of whose findings the loop has taken in. */
-    private long takenInAt = Long.MIN_VALUE / 2;
-    /** Reads that more may follow of, so far; on the selector's thread. */
+    private final long maxInputAgeMicros;
+    /** When the last completed pass was requested; written on the selector's thread. */
+    private volatile long lastPassMicros = Long.MIN_VALUE / 2;
+    /** When the last pass was requested all of whose input the loop has processed. */
+    private long lastProcessedPassMicros = Long.MIN_VALUE / 2;
+    /** Number of reads that more input may follow; used on the selector's thread. */
     private int unfinishedReads;
     /**
-     * As many of them as were followed by a whole pass. Danger: a connection that was accepted right before a pass is
-     * read only in the one after it.
+     * How many of them have been followed by a complete pass. A connection that is accepted right before a pass is read
+     * only in the next one.
      */
     private int settledReads;
 
     private List<Runnable> waiting = new ArrayList<>();
-    private volatile boolean beats;
+    private volatile boolean periodicPasses;
 
-    /** @param mostFactAge how old what was said may be, in microseconds */
-    ReadBarrier(Loop loop, TCPNIOTransport nio, long mostFactAge) {
+    /** @param maxInputAgeMicros maximum age of processed input, in microseconds */
+    ReadBarrier(Loop loop, TCPNIOTransport nio, long maxInputAgeMicros) {
         this.loop = loop;
         this.nio = nio;
-        this.mostFactAge = mostFactAge;
+        this.maxInputAgeMicros = maxInputAgeMicros;
     }
 
-    /** On the selector's thread: a part of a statement was read, or a connection accepted and not yet read from. */
+    /** On the selector's thread: part of a report was read, or a connection accepted and not yet read from. */
     void expectMoreInput() {
         unfinishedReads++;
     }
 
-    /** From now on there is a pass every {@link #BEAT} whatever goes on, so that a pause of the process is noticed. */
+    /** Starts a pass every {@link #PASS_INTERVAL_MS} regardless of load, so that pauses of the process are detected. */
     void startPeriodicPasses(SelectorRunner selector) {
-        // Nothing came before there was where to.
-        readAt = loop.now();
-        beats = true;
-        Thread thread = new Thread(() -> passes(selector), "read barrier");
+        // No input can have arrived before there was a listener.
+        lastPassMicros = loop.now();
+        periodicPasses = true;
+        Thread thread = new Thread(() -> runPeriodicPasses(selector), "read barrier");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void passes(SelectorRunner selector) {
+    private void runPeriodicPasses(SelectorRunner selector) {
         try {
-            while (beats) {
+            while (periodicPasses) {
                 pass(selector, loop.now(), () -> {});
-                Thread.sleep(BEAT);
+                Thread.sleep(PASS_INTERVAL_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            // Danger: without passes all that is read would seem to have come long ago.
-            beats = false;
+            // Without passes all input would seem to have arrived long ago.
+            periodicPasses = false;
         }
     }
 
     void stop() {
-        beats = false;
+        periodicPasses = false;
     }
 
     /**
-     * When something that is read now came, at the earliest, in microseconds of the loop's clock; any thread may ask.
-     * Danger: after a pause of the process it may have waited in the system all the while, at its sender's expense.
+     * The earliest possible arrival time of input that is read now, in microseconds of the loop's clock; callable on
+     * any thread. After a pause of the process the input may have waited in the kernel all the time, and that time
+     * counts against the sender's deadline.
      */
     long earliestArrivalMicros() {
         long now = loop.now();
-        long unreadSince = readAt;
-        return beats && now - unreadSince > MOST_UNREAD ? unreadSince : now;
+        long lastPass = lastPassMicros;
+        return periodicPasses && now - lastPass > MAX_PASS_GAP_MICROS ? lastPass : now;
     }
 
     /**
-     * Runs it at once where what is known is recent enough, else as soon as it is.
+     * Runs a task at once if the processed input is recent enough, otherwise as soon as it is.
      *
-     * @param selector whose thread reads all connections
+     * @param selector the runner whose thread reads all connections
      */
-    void runAfterReads(SelectorRunner selector, Runnable then) {
-        if (waiting.isEmpty() && holds()) {
-            then.run();
+    void runAfterReads(SelectorRunner selector, Runnable task) {
+        if (waiting.isEmpty() && isCurrent()) {
+            task.run();
             return;
         }
-        waiting.add(then);
+        waiting.add(task);
         if (waiting.size() == 1) {
-            passInOrder(selector);
+            passBehindQueue(selector);
         }
     }
 
-    private boolean holds() {
-        return takenInRecently() && readRecently();
+    private boolean isCurrent() {
+        return processedRecently() && readRecently();
     }
 
-    private boolean takenInRecently() {
-        return loop.now() - takenInAt <= mostFactAge;
+    private boolean processedRecently() {
+        return loop.now() - lastProcessedPassMicros <= maxInputAgeMicros;
     }
 
     private boolean readRecently() {
-        return loop.now() - readAt <= MAX_CLOSE_AGE_MICROS;
+        return loop.now() - lastPassMicros <= MAX_CLOSE_AGE_MICROS;
     }
 
-    /** Has all connections read, and hears of it behind all that was read. */
-    private void passInOrder(SelectorRunner selector) {
-        long asked = loop.now();
+    /** Reads all connections, and continues once the loop has processed all that was read. */
+    private void passBehindQueue(SelectorRunner selector) {
+        long requestedMicros = loop.now();
         pass(
                 selector,
-                asked,
+                requestedMicros,
                 () -> loop.execute(() -> {
-                    takenInAt = asked;
-                    settle(selector);
+                    lastProcessedPassMicros = requestedMicros;
+                    runOrRepeat(selector);
                 }));
     }
 
-    /** Has all connections read, for their ends alone: it does not wait for what else was read. */
-    private void passForEnds(SelectorRunner selector) {
-        pass(selector, loop.now(), () -> loop.executeFirst(() -> settle(selector)));
+    /** Reads all connections to detect closes only; does not wait until the loop has processed other input. */
+    private void passForCloses(SelectorRunner selector) {
+        pass(selector, loop.now(), () -> loop.executeFirst(() -> runOrRepeat(selector)));
     }
 
-    private void settle(SelectorRunner selector) {
-        if (!takenInRecently()) {
-            passInOrder(selector);
+    private void runOrRepeat(SelectorRunner selector) {
+        if (!processedRecently()) {
+            passBehindQueue(selector);
         } else if (!readRecently()) {
-            passForEnds(selector);
+            passForCloses(selector);
         } else {
-            List<Runnable> all = waiting;
+            List<Runnable> tasks = waiting;
             waiting = new ArrayList<>();
-            all.forEach(Runnable::run);
+            tasks.forEach(Runnable::run);
         }
     }
 
-    /** @param made runs on the selector's thread */
-    private void pass(SelectorRunner selector, long asked, Runnable made) {
-        enqueue(selector, () -> pass(selector, asked, made, settledReads, MOST_PASSES));
+    /**
+     * Requests a pass over all connections.
+     *
+     * @param completed called on the selector's thread
+     */
+    private void pass(SelectorRunner selector, long requestedMicros, Runnable completed) {
+        enqueue(selector, () -> pass(selector, requestedMicros, completed, settledReads, MAX_SUCCESSIVE_PASSES));
     }
 
-    /** Between two tasks the selector's thread has read once from each connection with something to read. */
-    private void pass(SelectorRunner selector, long asked, Runnable made, int readsBefore, int passesLeft) {
+    /** Between two tasks the selector's thread has read once from each connection that had input. */
+    private void pass(
+            SelectorRunner selector, long requestedMicros, Runnable completed, int readsBefore, int passesLeft) {
         enqueue(selector, () -> {
             if (unfinishedReads != readsBefore && passesLeft > 0) {
-                pass(selector, asked, made, unfinishedReads, passesLeft - 1);
+                pass(selector, requestedMicros, completed, unfinishedReads, passesLeft - 1);
             } else {
                 settledReads = unfinishedReads;
-                readAt = Math.max(readAt, asked);
-                made.run();
+                lastPassMicros = Math.max(lastPassMicros, requestedMicros);
+                completed.run();
             }
         });
     }
--- a/src/main/java/gorserill/transport/ReservedPort.java
+++ b/src/main/java/gorserill/transport/ReservedPort.java
@@ -13,24 +13,23 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A loopback port that is kept for a listener of this or another process, which binds it later, and maybe
- * more than once. Danger: a port that was merely found to be free may be another's by the time that it is
- * bound.
+ * A loopback port that is reserved for a listener of this or another process, which binds it later, possibly more
+ * than once. A port that was only found to be free might be taken by another process before it is bound.
  *
- * <p>The port is held by a socket that is bound and never listens. It was bound alone, so that no one else
- * can reserve the same port, and shares its address from then on with listeners that set
- * {@code SO_REUSEADDR}, as those of the JDK and of {@link Transport} do. The system gives a port that is
- * bound to nobody who asks for any, and to no outgoing connection; until there is a listener it refuses
- * connections. Datagrams are not held up by that socket: for them the port lies below those that the system
- * gives out (from 32768 on, unless the machine is set otherwise).
+ * <p>The port is held by a socket that is bound and never listens. That socket is bound exclusively, so that nobody
+ * else can reserve the same port, and then shares its address with listeners that set {@code SO_REUSEADDR}, as those
+ * of the JDK and of {@link Transport} do. The system assigns a bound port neither to a socket that asks for any free
+ * port nor to an outgoing connection; until there is a listener, connections to it are refused. The socket does not
+ * reserve the UDP port of the same number; that one is safe because it lies below the range from which the system
+ * assigns ephemeral ports (from 32768 on by default).
  */
 public final class ReservedPort implements Closeable {
-    private static final int FIRST = 12_000;
-    private static final int MANY = 19_000;
-    private static final AtomicInteger NEXT =
-            new AtomicInteger(ThreadLocalRandom.current().nextInt(MANY));
-    /** Danger: a socket that nobody refers to is closed by the garbage collector. */
-    private static final List<ReservedPort> UNTIL_EXIT = Collections.synchronizedList(new ArrayList<>());
+    private static final int FIRST_PORT = 12_000;
+    private static final int PORT_COUNT = 19_000;
+    private static final AtomicInteger NEXT_OFFSET =
+            new AtomicInteger(ThreadLocalRandom.current().nextInt(PORT_COUNT));
+    /** Keeps ports referenced, since the garbage collector closes a socket that is unreachable. */
+    private static final List<ReservedPort> RESERVED_UNTIL_EXIT = Collections.synchronizedList(new ArrayList<>());
 
     private final Socket holder;
 
@@ -38,10 +37,10 @@
         this.holder = holder;
     }
 
-    /** Reserves a port until it is closed. */
+    /** Reserves a port until {@link #close}. */
     public static ReservedPort reserve() throws IOException {
-        for (int tries = 0; tries < MANY; tries++) {
-            int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), MANY);
+        for (int tries = 0; tries < PORT_COUNT; tries++) {
+            int port = FIRST_PORT + Math.floorMod(NEXT_OFFSET.getAndIncrement(), PORT_COUNT);
             Socket holder = new Socket();
             try (DatagramSocket datagrams = new DatagramSocket(null)) {
                 datagrams.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
@@ -50,31 +49,30 @@
                 holder.setReuseAddress(true);
                 return new ReservedPort(holder);
             } catch (IOException e) {
-                // It is taken: the next one may not be.
+                // This port is in use; try the next one.
                 holder.close();
             }
         }
-        throw new IOException("no loopback port is free from " + FIRST + " to " + (FIRST + MANY - 1));
+        throw new IOException("no loopback port is free from " + FIRST_PORT + " to " + (FIRST_PORT + PORT_COUNT - 1));
     }
 
     /** Reserves a port until this process ends. */
     public static InetSocketAddress reserveUntilExit() throws IOException {
         ReservedPort port = reserve();
-        UNTIL_EXIT.add(port);
+        RESERVED_UNTIL_EXIT.add(port);
         return port.address();
     }
 
-    /** Where its listener is to listen. */
+    /** The address for the listener to bind. */
     public InetSocketAddress address() {
         return (InetSocketAddress) holder.getLocalSocketAddress();
     }
 
-    /** The number of the port. */
     public int port() {
         return holder.getLocalPort();
     }
 
-    /** Lets go of the port; a listener that has it keeps it. */
+    /** Ends the reservation; a listener that has bound the port keeps it. */
     @Override
     public void close() throws IOException {
         holder.close();
--- a/src/main/java/gorserill/transport/Transport.java
+++ b/src/main/java/gorserill/transport/Transport.java
@@ -37,28 +37,32 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Grizzly's set-up: one selector thread, small heap buffers, the chains, and the table of connections with
- * its budget of descriptors. Codecs run on the selector thread; all else on the loop's.
+ * The TCP transport on Grizzly: one selector thread, small heap buffers, the filter chains, and the table of
+ * connections with its budget of file descriptors. Codecs run on the selector's thread, all other code on the loop's
+ * thread.
  */
 public final class Transport {
     private static final Logger LOG = Logger.getLogger(Transport.class.getName());
-    private static final int READ_BUFFER = 8 * 1024;
+    private static final int READ_BUFFER_BYTES = 8 * 1024;
     private static final int BACKLOG = 512;
-    /** How old what was said may be as something is written that hangs on it, unless a deployment asks for less. */
+    /**
+     * Default maximum age, in microseconds, of processed state reports when a write depends on them; a deployment may
+     * require less.
+     */
     public static final long DEFAULT_MAX_INPUT_AGE_MICROS = 100_000;
 
-    /** Where connections are accepted. */
+    /** A listening socket. */
     public interface Listener {
         /**
-         * Accepts nothing more than what waits to be accepted by now; that is left to other processes where
-         * the socket was passed on.
+         * Stops accepting connections. Connections already in the backlog are still accepted, except on an inherited
+         * socket, where they are left to the other processes that share it.
          */
         void stopAccepting();
     }
 
-    /** A connection on its way up. */
+    /** A connection that is being established. */
     public interface PendingConnection {
-        /** Gives it up; nothing more is told of it. */
+        /** Cancels the connection attempt; the listener gets no event of it. */
         void cancel();
     }
 
@@ -66,65 +70,67 @@
     private final TCPNIOTransport nio;
     private final Attribute<Channel> channels;
     private final SlotTable<Channel> table;
-    /** Connections up or on their way; counted where they begin, on whichever thread that is. */
+    /** Connections established or being established; counted on the thread that opens or accepts them. */
     private final DescriptorBudget descriptors;
 
-    private final ThrottledWarnings shed;
+    private final ThrottledWarnings descriptorWarnings;
     private final ReadBarrier barrier;
-    private boolean noticesPauses;
+    private boolean tracksProcessPauses;
 
     /**
-     * @param budget the most connections held at a time, of all kinds together
-     * @param siblings who hold part of the budget, too
+     * @param budget the maximum number of connections at a time, of all kinds
+     * @param siblings other processes of this node, which use part of the same budget
      */
     public Transport(Loop loop, int budget, SiblingProcesses siblings) {
         this(loop, budget, siblings, DEFAULT_MAX_INPUT_AGE_MICROS);
     }
 
-    /** @param mostFactAge how old what was said may be as something is written that hangs on it, microseconds */
-    public Transport(Loop loop, int budget, SiblingProcesses siblings, long mostFactAge) {
+    /** @param maxInputAgeMicros maximum age of processed state reports when a write depends on them, in microseconds */
+    public Transport(Loop loop, int budget, SiblingProcesses siblings, long maxInputAgeMicros) {
         this.loop = loop;
         channels = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("gorserill.channel");
         table = new SlotTable<>();
-        // Clients hold at most a third of all descriptors for requests, and each may need one to a worker.
+        // Clients hold at most a third of all descriptors for requests, and each request may need one to a worker.
         descriptors = new DescriptorBudget(budget, budget * 3 / 5, siblings);
-        shed = new ThrottledWarnings(loop, LOG, "connections closed for want of descriptors");
-        ThreadPoolConfig one = ThreadPoolConfig.defaultConfig()
+        descriptorWarnings = new ThrottledWarnings(loop, LOG, "connections closed for want of descriptors");
+        ThreadPoolConfig selectorThread = ThreadPoolConfig.defaultConfig()
                 .copy()
                 .setPoolName("selector")
                 .setCorePoolSize(1)
                 .setMaxPoolSize(1);
         nio = TCPNIOTransportBuilder.newInstance()
                 .setIOStrategy(SameThreadIOStrategy.getInstance())
-                .setSelectorThreadPoolConfig(one)
+                .setSelectorThreadPoolConfig(selectorThread)
                 .setSelectorRunnersCount(1)
                 .setTcpNoDelay(true)
                 .setMemoryManager(new HeapMemoryManager(0))
-                .setReadBufferSize(READ_BUFFER)
+                .setReadBufferSize(READ_BUFFER_BYTES)
                 .setServerConnectionBackLog(BACKLOG)
                 .setReuseAddress(true)
                 .build();
-        barrier = new ReadBarrier(loop, nio, mostFactAge);
+        barrier = new ReadBarrier(loop, nio, maxInputAgeMicros);
     }
 
-    /** The same in all but the budget. */
+    /** Shares everything with the other transport but the budget. */
     private Transport(Transport other, DescriptorBudget descriptors) {
         loop = other.loop;
         nio = other.nio;
         channels = other.channels;
         table = other.table;
-        shed = other.shed;
+        descriptorWarnings = other.descriptorWarnings;
         barrier = other.barrier;
         this.descriptors = descriptors;
     }
 
     /**
-     * This transport for connections that have so many descriptors of their own, beside the budget. Danger:
-     * clients and their jobs may use up the budget for as long as they like, and what a node must reach all
-     * the while would find nothing left of it.
+     * A view of this transport whose connections have a budget of their own. Clients and their jobs may use up the
+     * shared budget for any length of time, and a service that the node must always reach could then not be connected
+     * to.
+     *
+     * @param maxConnections the size of the separate budget
      */
-    public Transport withSeparateBudget(int most) {
-        return new Transport(this, new DescriptorBudget(most, most, SiblingProcesses.none()));
+    public Transport withSeparateBudget(int maxConnections) {
+        return new Transport(this, new DescriptorBudget(maxConnections, maxConnections, SiblingProcesses.none()));
     }
 
     public void start() throws IOException {
@@ -136,11 +142,11 @@
         try {
             nio.shutdownNow();
         } catch (IOException e) {
-            LOG.log(Level.FINE, "the transport did not stop cleanly", e);
+            LOG.log(Level.FINE, "the TCP transport did not shut down cleanly", e);
         }
     }
 
-    /** A chain of the transport, a codec and the hand-over to the loop. */
+    /** A filter chain of the transport, a codec and the handoff to the loop. */
     public FilterChain chain(Filter codec) {
         return chain(codec, new LoopHandoffFilter(loop, channels));
     }
@@ -154,92 +160,93 @@
     }
 
     /**
-     * The same for connections on which is said what other writes hang on: whatever of it could be read is taken in
-     * before these, in however many pieces it came.
+     * A filter chain for connections that report state on which writes elsewhere depend: reports that could be read
+     * before such a write are processed before it, even if they arrived in several pieces.
      */
     public FilterChain chainForStateUpdates(Filter codec) {
         return chain(codec, LoopHandoffFilter.forStateUpdates(loop, channels, barrier::expectMoreInput));
     }
 
     /**
-     * When something that is read now came, at the earliest, in microseconds of the loop's clock; any thread may ask.
-     * It is the present time unless the process was held up ({@link #trackProcessPauses}).
+     * The earliest possible arrival time of input that is read now, in microseconds of the loop's clock; callable on
+     * any thread. It is the current time unless the process was paused ({@link #trackProcessPauses}).
      */
     public long earliestArrivalMicros() {
         return barrier.earliestArrivalMicros();
     }
 
-    /** Once it listens, {@link #earliestArrivalMicros} allows for pauses of the process. */
+    /** Makes {@link #earliestArrivalMicros} allow for pauses of the process, from the first listener on. */
     public void trackProcessPauses() {
-        noticesPauses = true;
+        tracksProcessPauses = true;
     }
 
-    private void listening(TCPNIOServerConnection server) {
-        if (noticesPauses) {
-            noticesPauses = false;
+    private void startPauseTracking(TCPNIOServerConnection server) {
+        if (tracksProcessPauses) {
+            tracksProcessPauses = false;
             barrier.startPeriodicPasses(((NIOConnection) server).getSelectorRunner());
         }
     }
 
-    /** Listens; each connection accepted gets a peer of its own. */
-    public Listener listen(InetSocketAddress address, Filter codec, Supplier<? extends ChannelListener> peers)
+    /** Listens on an address; each accepted connection gets a listener of its own. */
+    public Listener listen(InetSocketAddress address, Filter codec, Supplier<? extends ChannelListener> listeners)
             throws IOException {
-        return bind(new Accepting(loop, descriptors, peers), codec, address);
+        return bind(new AcceptFilter(loop, descriptors, listeners), codec, address);
     }
 
-    /** The same on the socket that the program was started with as its descriptor 0. */
-    public Listener listenOnInherited(Filter codec, Supplier<? extends ChannelListener> peers) throws IOException {
+    /** Listens on the socket that the process inherited as its file descriptor 0. */
+    public Listener listenOnInherited(Filter codec, Supplier<? extends ChannelListener> listeners) throws IOException {
         TCPNIOServerConnection server =
-                binding(new Accepting(loop, descriptors, peers), codec).bindToInherited();
-        listening(server);
-        // Danger: closing it would close standard output and error, too; the JVM has it so.
+                binding(new AcceptFilter(loop, descriptors, listeners), codec).bindToInherited();
+        startPauseTracking(server);
+        // The JVM would close standard output and error together with this socket, so it only stops accepting.
         return () -> {
             try {
                 server.disableIOEvent(IOEvent.SERVER_ACCEPT);
             } catch (IOException e) {
-                LOG.log(Level.WARNING, "the passed socket can''t be left: {0}", e.getMessage());
+                LOG.log(Level.WARNING, "can''t stop accepting on the passed socket: {0}", e.getMessage());
             }
         };
     }
 
     /**
-     * Listens apart from all else: its connections have so many descriptors of their own, and what comes on
-     * them passes before what comes on others.
+     * Listens with a separate budget of descriptors; input on these connections is processed before input on others.
+     *
+     * @param maxConnections the size of the separate budget
      */
     public Listener listenWithSeparateBudget(
-            InetSocketAddress address, Filter codec, Supplier<? extends ChannelListener> peers, int most)
+            InetSocketAddress address, Filter codec, Supplier<? extends ChannelListener> listeners, int maxConnections)
             throws IOException {
-        DescriptorBudget apart = new DescriptorBudget(most, most, SiblingProcesses.none());
-        return bind(new Accepting(loop::executeFirst, apart, peers), codec, address);
+        DescriptorBudget separate = new DescriptorBudget(maxConnections, maxConnections, SiblingProcesses.none());
+        return bind(new AcceptFilter(loop::executeFirst, separate, listeners), codec, address);
     }
 
-    private Listener bind(Accepting accepting, Filter codec, InetSocketAddress address) throws IOException {
-        TCPNIOServerConnection server = binding(accepting, codec).bind(address, BACKLOG);
-        listening(server);
+    private Listener bind(AcceptFilter acceptFilter, Filter codec, InetSocketAddress address) throws IOException {
+        TCPNIOServerConnection server = binding(acceptFilter, codec).bind(address, BACKLOG);
+        startPauseTracking(server);
         return () -> onSelector(server, () -> {
-            takeBacklog(server, accepting);
+            acceptBacklog(server, acceptFilter);
             server.closeSilently();
         });
     }
 
     /**
-     * Danger: who connected while the selector's thread was busy waits in the system's queue, and maybe sent
-     * a request; the end of listening resets whatever waits there.
+     * Accepts the connections in the kernel's backlog. Clients that connected while the selector's thread was busy wait
+     * there, possibly with a request sent, and closing the listening socket would reset them.
      */
-    private static void takeBacklog(TCPNIOServerConnection server, Accepting accepting) {
+    private static void acceptBacklog(TCPNIOServerConnection server, AcceptFilter acceptFilter) {
         try {
-            int first = accepting.accepted;
+            int acceptedBefore = acceptFilter.accepted;
             int before;
             do {
-                before = accepting.accepted;
+                before = acceptFilter.accepted;
                 server.onAccept();
-            } while (accepting.accepted > before && before < first + BACKLOG);
+            } while (acceptFilter.accepted > before && before < acceptedBefore + BACKLOG);
         } catch (IOException e) {
-            LOG.log(Level.FINE, "what waits to be accepted can''t be", e);
+            LOG.log(Level.FINE, "the connections in the backlog can''t be accepted", e);
         }
     }
 
-    /** Runs it on the thread that reads from this connection, or accepts at it, between two of those. */
+    /** Runs a task on the thread that reads from this connection or accepts on it, between two reads or accepts. */
     private void onSelector(Connection<?> connection, Runnable task) {
         nio.getSelectorHandler()
                 .execute(
@@ -251,30 +258,30 @@
                         null);
     }
 
-    private TCPNIOBindingHandler binding(Accepting accepting, Filter codec) {
+    private TCPNIOBindingHandler binding(AcceptFilter acceptFilter, Filter codec) {
         FilterChain chain = FilterChainBuilder.stateless()
                 .add(new TransportFilter())
-                .add(accepting)
+                .add(acceptFilter)
                 .add(codec)
-                .add(new LoopHandoffFilter(accepting.lane, channels))
+                .add(new LoopHandoffFilter(acceptFilter.executor, channels))
                 .build();
         return TCPNIOBindingHandler.builder(nio).processor(chain).build();
     }
 
     /**
-     * Opens a connection; the peer hears {@code opened}, {@code connectFailed}, or {@code noDescriptor} where
-     * this process has none left for it.
+     * Opens a connection. The listener's {@code opened} or {@code connectFailed} is called, or {@code noDescriptor} if
+     * this process has no file descriptor left.
      */
-    public PendingConnection connect(InetSocketAddress address, FilterChain chain, ChannelListener peer) {
+    public PendingConnection connect(InetSocketAddress address, FilterChain chain, ChannelListener listener) {
         if (!descriptors.tryAcquire()) {
-            loop.execute(() -> peer.noDescriptor("the budget of descriptors is used up"));
+            loop.execute(() -> listener.noDescriptor("the budget of descriptors is used up"));
             return () -> {};
         }
-        Pending pending = new Pending(peer);
-        pending.future =
+        ConnectAttempt attempt = new ConnectAttempt(listener);
+        attempt.future =
                 TCPNIOConnectorHandler.builder(nio).processor(chain).build().connect(address);
-        pending.future.addCompletionHandler(pending);
-        return pending;
+        attempt.future.addCompletionHandler(attempt);
+        return attempt;
     }
 
     /** Whether connections use so much of the budget that new ones should be turned away. */
@@ -282,59 +289,60 @@
         return descriptors.isNearLimit();
     }
 
-    /** Connections up or on their way. */
+    /** The number of connections established or being established. */
     public int connectionCount() {
         return descriptors.inUse();
     }
 
     @SuppressWarnings("unchecked")
-    private Channel channel(Connection<?> opened, ChannelListener peer, DescriptorBudget budget) {
+    private Channel channel(Connection<?> opened, ChannelListener listener, DescriptorBudget budget) {
         Channel channel =
-                new Channel((Connection<Object>) opened, peer, budget, task -> onSelector(opened, task), barrier);
+                new Channel((Connection<Object>) opened, listener, budget, task -> onSelector(opened, task), barrier);
         channels.set(opened, channel);
         return channel;
     }
 
-    private void register(Connection<?> opened, Channel channel, Executor lane, Consumer<Channel> closed) {
-        lane.execute(() -> {
+    private void register(Connection<?> opened, Channel channel, Executor executor, Consumer<Channel> closed) {
+        executor.execute(() -> {
             channel.handle = table.add(channel);
-            channel.peer.opened(channel);
+            channel.listener.opened(channel);
         });
         ((Closeable) opened).addCloseListener((closeable, type) -> {
             closed.accept(channel);
-            lane.execute(() -> {
+            executor.execute(() -> {
                 if (table.remove(channel.handle) != null) {
-                    channel.peer.closed();
+                    channel.listener.closed();
                 }
             });
         });
     }
 
-    /** Enters accepted connections in the table, before anything is read from them. */
-    private final class Accepting extends BaseFilter {
-        private final Executor lane;
+    /** Adds accepted connections to the table before anything is read from them. */
+    private final class AcceptFilter extends BaseFilter {
+        private final Executor executor;
         private final DescriptorBudget budget;
-        private final Supplier<? extends ChannelListener> peers;
-        /** On the selector's thread alone. */
+        private final Supplier<? extends ChannelListener> listeners;
+        /** Number of accepted connections; used on the selector's thread only. */
         private int accepted;
 
-        Accepting(Executor lane, DescriptorBudget budget, Supplier<? extends ChannelListener> peers) {
-            this.lane = lane;
+        AcceptFilter(Executor executor, DescriptorBudget budget, Supplier<? extends ChannelListener> listeners) {
+            this.executor = executor;
             this.budget = budget;
-            this.peers = peers;
+            this.listeners = listeners;
         }
 
         @Override
         public NextAction handleAccept(FilterChainContext ctx) {
             accepted++;
             barrier.expectMoreInput();
-            Channel channel = channel(ctx.getConnection(), peers.get(), budget);
-            // Danger: clients that say nothing must not cut off those that do, nor the node from its workers.
-            Channel least = budget.registerAccepted(channel);
-            register(ctx.getConnection(), channel, lane, budget::releaseAccepted);
-            if (least != null) {
-                loop.execute(() -> shed.add(least == channel ? "a new one" : "one at rest", least.remoteAddress()));
-                least.close();
+            Channel channel = channel(ctx.getConnection(), listeners.get(), budget);
+            // Silent clients must not keep out clients with requests, nor keep the node from connecting to its workers.
+            Channel toClose = budget.registerAccepted(channel);
+            register(ctx.getConnection(), channel, executor, budget::releaseAccepted);
+            if (toClose != null) {
+                loop.execute(() -> descriptorWarnings.add(
+                        toClose == channel ? "a new one" : "one at rest", toClose.remoteAddress()));
+                toClose.close();
             }
             return ctx.getInvokeAction();
         }
@@ -352,25 +360,25 @@
     }
 
     @SuppressWarnings("rawtypes")
-    private final class Pending extends EmptyCompletionHandler<Connection> implements PendingConnection {
-        private final ChannelListener peer;
+    private final class ConnectAttempt extends EmptyCompletionHandler<Connection> implements PendingConnection {
+        private final ChannelListener listener;
         private GrizzlyFuture<Connection> future;
         private boolean cancelled;
 
-        Pending(ChannelListener peer) {
-            this.peer = peer;
+        ConnectAttempt(ChannelListener listener) {
+            this.listener = listener;
         }
 
         @Override
         public void cancel() {
-            // Cancelling closes the socket, too: one to a silent machine would hang for minutes.
+            // Cancelling also closes the socket; a connection to an unresponsive host would otherwise hang for minutes.
             cancelled = true;
             future.cancel(true);
         }
 
         @Override
         public void completed(Connection connection) {
-            register(connection, channel(connection, peer, descriptors), loop, channel -> descriptors.release());
+            register(connection, channel(connection, listener, descriptors), loop, channel -> descriptors.release());
         }
 
         @Override
@@ -380,12 +388,12 @@
                 if (cancelled) {
                     return;
                 }
-                String why = String.valueOf(cause.getMessage());
-                // Danger: the system's limit of descriptors is this process's want, not the other side's.
-                if (why.contains("Too many open files")) {
-                    peer.noDescriptor(why);
+                String reason = String.valueOf(cause.getMessage());
+                // Reaching the system's limit of file descriptors is a fault of this process, not of the remote side.
+                if (reason.contains("Too many open files")) {
+                    listener.noDescriptor(reason);
                 } else {
-                    peer.connectFailed(why);
+                    listener.connectFailed(reason);
                 }
             });
         }
