--- a/src/test/java/gorserill/protocol/http/HeldReads.java
+++ b/src/test/java/gorserill/protocol/http/BlockableReadFilter.java
@@ -9,33 +9,33 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * A codec before which the selector's thread can be held: with bytes that it has read from one connection,
- * and that nobody has heard of, while nothing else is read or accepted.
+ * Wraps a codec and can block the selector's thread in front of it: bytes of one connection have then been read but not
+ * processed, and nothing else is read or accepted.
  */
-final class HeldReads extends BaseFilter {
+final class BlockableReadFilter extends BaseFilter {
     private final Filter codec;
-    private volatile CountDownLatch reached;
+    private volatile CountDownLatch blocked;
     private volatile CountDownLatch released;
-    private final AtomicInteger reads = new AtomicInteger();
+    private final AtomicInteger readCount = new AtomicInteger();
 
-    HeldReads(Filter codec) {
+    BlockableReadFilter(Filter codec) {
         this.codec = codec;
     }
 
-    /** The next read is held. */
-    void hold() {
+    /** Blocks the selector's thread at the next read, until {@link #release}. */
+    void blockNextRead() {
         released = new CountDownLatch(1);
-        reached = new CountDownLatch(1);
+        blocked = new CountDownLatch(1);
     }
 
-    /** Reads that have begun, of all connections. */
-    int count() {
-        return reads.get();
+    /** The number of reads started so far, on all connections. */
+    int readCount() {
+        return readCount.get();
     }
 
-    void awaitHeld() throws InterruptedException {
-        if (!reached.await(5, TimeUnit.SECONDS)) {
-            throw new AssertionError("nothing was read");
+    void awaitBlocked() throws InterruptedException {
+        if (!blocked.await(5, TimeUnit.SECONDS)) {
+            throw new AssertionError("nothing was read within 5 s");
         }
     }
 
@@ -47,13 +47,13 @@
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) throws java.io.IOException {
-        reads.incrementAndGet();
-        CountDownLatch here = reached;
-        if (here != null && here.getCount() > 0) {
-            here.countDown();
+        readCount.incrementAndGet();
+        CountDownLatch latch = blocked;
+        if (latch != null && latch.getCount() > 0) {
+            latch.countDown();
             try {
                 if (!released.await(10, TimeUnit.SECONDS)) {
-                    throw new AssertionError("never released");
+                    throw new AssertionError("the blocked read was not released within 10 s");
                 }
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
--- a/src/test/java/gorserill/protocol/http/ClientLeftTest.java
+++ b/src/test/java/gorserill/protocol/http/ClientLeftTest.java
@@ -16,7 +16,7 @@
 import gorserill.protocol.faktory.FaktoryCodec;
 import gorserill.protocol.faktory.FaktoryFront;
 import gorserill.protocol.faktory.FaktoryTerms;
-import gorserill.protocol.http.StandInWorkers.Accepted;
+import gorserill.protocol.http.FakeServers.AcceptedConnection;
 import gorserill.routing.JobSpec;
 import gorserill.routing.RequestOptions;
 import gorserill.routing.ResponseHandler;
@@ -40,38 +40,39 @@
 import org.testng.annotations.Test;
 
 /**
- * No attempt begins for a client that has closed its connection, wherever its job was just then. The close
- * lies unread in the system: the selector's thread is held, as it is where the whole process stood still and
- * the loop is the first to go on.
+ * No attempt is started for a client that has closed its connection, in whatever state its job is. The close is still
+ * unread in the kernel, since the selector's thread is blocked. This happens when the whole process was paused and the
+ * loop's thread is the first to continue.
  */
 public class ClientLeftTest {
-    /** Late answers are worth as much, so what waits is not given up. */
-    private static final JobClass PATIENT = new JobClass(100_000, 2, 2_000_000, 1, 1, Effect.SAFE, Group.ALL, 0, -1);
-    /** Some periods of the module's, in milliseconds; what waits for one has been offered. */
-    private static final int PERIODS = 400;
-    /** One of them, microseconds. */
-    private static final long PERIOD = 12_500;
-    /** So long after a close no attempt may begin, microseconds. */
-    private static final long TOO_LATE = 100_000;
-
-    private LiveCore live;
-    private StandInWorkers workers;
-    private HeldReads reads;
-    private InetSocketAddress at;
+    /** A late answer keeps its full value, so waiting jobs are not given up. */
+    private static final JobClass JOB_CLASS = new JobClass(100_000, 2, 2_000_000, 1, 1, Effect.SAFE, Group.ALL, 0, -1);
+    /** Several periods of the dispatcher, in milliseconds; jobs that wait for a period have been offered by then. */
+    private static final int SEVERAL_PERIODS_MS = 400;
+    /** One period of the dispatcher, in microseconds. */
+    private static final long PERIOD_MICROS = 12_500;
+    /** Time after a close, in microseconds, from which on no attempt may start. */
+    private static final long MAX_START_DELAY_MICROS = 100_000;
+
+    private CoreFixture fixture;
+    private FakeServers workers;
+    private BlockableReadFilter reads;
+    private InetSocketAddress address;
     private final List<Socket> open = new ArrayList<>();
 
     @BeforeMethod
     public void start() throws Exception {
-        live = new LiveCore(100, true, PATIENT);
-        workers = new StandInWorkers(2);
-        reads = new HeldReads(HttpCodec.server(live.loop::now, HttpFrontend.MAX_BODY_BYTES, live.room));
-        at = live.listen(reads);
+        fixture = new CoreFixture(100, true, JOB_CLASS);
+        workers = new FakeServers(2);
+        reads = new BlockableReadFilter(
+                HttpCodec.server(fixture.loop::now, HttpFrontend.MAX_BODY_BYTES, fixture.memoryBudget));
+        address = fixture.listen(reads);
     }
 
     @AfterMethod
     public void stop() throws Exception {
         reads.release();
-        live.close();
+        fixture.close();
         workers.close();
         for (Socket socket : open) {
             socket.close();
@@ -79,45 +80,45 @@
         open.clear();
     }
 
-    // ---- the stage ----
+    // ---- set-connection ----
 
-    private void list(int count) throws Exception {
-        live.on(() -> {
+    private void listWorkers(int count) throws Exception {
+        fixture.runOnLoop(() -> {
             List<Worker> all = new ArrayList<>();
             Map<Long, HttpWorker> ports = new HashMap<>();
-            for (int place = 0; place < count; place++) {
-                all.add(new Worker(place + 1, 0, 0, 0, WorkerState.READY, 0));
-                ports.put(place + 1L, live.port("w" + place, workers.address(place)));
+            for (int index = 0; index < count; index++) {
+                all.add(new Worker(index + 1, 0, 0, 0, WorkerState.READY, 0));
+                ports.put(index + 1L, fixture.httpWorker("w" + index, workers.address(index)));
             }
-            live.core.updateWorkers(ListKind.WHOLE, all, ports);
+            fixture.core.updateWorkers(ListKind.WHOLE, all, ports);
             return null;
         });
     }
 
-    /** A connection to each of the workers that are listed, which rests. */
-    private Accepted[] rested(int count) throws Exception {
-        list(count);
+    /** Lists {@code count} workers and opens an idle connection to connection. */
+    private AcceptedConnection[] openIdle(int count) throws Exception {
+        listWorkers(count);
         CompletableFuture<String> answer = new CompletableFuture<>();
-        long handle = live.on(() -> live.take("first", answer));
-        Accepted[] all = new Accepted[count];
-        Accepted first = workers.next();
-        first.head();
-        all[first.place()] = first;
+        long handle = fixture.runOnLoop(() -> fixture.submit("first", answer));
+        AcceptedConnection[] all = new AcceptedConnection[count];
+        AcceptedConnection first = workers.nextConnection();
+        first.readHead();
+        all[first.index()] = first;
         if (count > 1) {
-            live.on(() -> {
-                live.core.send(handle, 2 - first.place());
+            fixture.runOnLoop(() -> {
+                fixture.core.send(handle, 2 - first.index());
                 return null;
             });
-            Accepted second = workers.next();
-            second.head();
-            all[second.place()] = second;
+            AcceptedConnection second = workers.nextConnection();
+            second.readHead();
+            all[second.index()] = second;
         }
-        for (Accepted each : all) {
-            each.answer(Accepted.done("first", "ok"));
+        for (AcceptedConnection connection : all) {
+            connection.respond(AcceptedConnection.doneResponse("first", "ok"));
         }
         answer.get(5, TimeUnit.SECONDS);
-        pass();
-        live.on(() -> null);
+        awaitReadPass();
+        fixture.runOnLoop(() -> null);
         return all;
     }
 
@@ -129,269 +130,274 @@
     }
 
     private Socket client(String... jobs) throws Exception {
-        Socket client = connect(at);
+        Socket client = connect(address);
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         for (String job : jobs) {
-            all.write(LiveCore.job(job));
+            all.write(CoreFixture.request(job));
         }
-        int before = reads.count();
+        int before = reads.readCount();
         client.getOutputStream().write(all.toByteArray());
-        LiveCore.await(() -> reads.count() > before);
+        CoreFixture.await(() -> reads.readCount() > before);
         return client;
     }
 
-    /** Something else was accepted and read: all that came before it was read, and is with the loop. */
-    private void pass() throws Exception {
-        int before = reads.count();
-        connect(at).getOutputStream().write('P');
-        LiveCore.await(() -> reads.count() > before);
+    /** Has another connection accepted and read: all that arrived before has then been read and queued for the loop. */
+    private void awaitReadPass() throws Exception {
+        int before = reads.readCount();
+        connect(address).getOutputStream().write('P');
+        CoreFixture.await(() -> reads.readCount() > before);
     }
 
-    /** The selector's thread stands still from now on, with a read of somebody else's. */
-    private void holdSelector() throws Exception {
-        reads.hold();
-        connect(at).getOutputStream().write('P');
-        reads.awaitHeld();
+    /** Blocks the selector's thread in a read from another connection. */
+    private void blockSelector() throws Exception {
+        reads.blockNextRead();
+        connect(address).getOutputStream().write('P');
+        reads.awaitBlocked();
     }
 
-    /** A client leaves, and the node stands still until an attempt for it would count as begun too late. */
-    private void leave(Socket client) throws IOException {
+    /** Closes a client's connection and advances the clock until an attempt for it would start too late. */
+    private void disconnect(Socket client) throws IOException {
         client.close();
-        live.ahead.addAndGet(TOO_LATE * 1_000);
+        fixture.clockOffsetNanos.addAndGet(MAX_START_DELAY_MICROS * 1_000);
     }
 
-    /** What the loop has to do is done. */
-    private void letPeriodsPass() throws Exception {
-        Thread.sleep(PERIODS);
-        live.on(() -> null);
+    /** Waits for several periods and until the loop has processed its queue. */
+    private void waitForPeriods() throws Exception {
+        Thread.sleep(SEVERAL_PERIODS_MS);
+        fixture.runOnLoop(() -> null);
     }
 
-    /** The selector's thread goes on; no byte has come on these, and the next job is the next to come. */
-    private void assertNothingBegan(Accepted... rested) throws Exception {
-        letPeriodsPass();
+    /** Releases the selector's thread and checks that no byte was written on the idle connections. */
+    private void assertNothingStarted(AcceptedConnection... idle) throws Exception {
+        waitForPeriods();
         reads.release();
-        pass();
-        letPeriodsPass();
-        for (Accepted each : rested) {
-            assertEquals(each.socket().getInputStream().available(), 0, "at worker " + each.place());
+        awaitReadPass();
+        waitForPeriods();
+        for (AcceptedConnection connection : idle) {
+            assertEquals(connection.socket().getInputStream().available(), 0, "at worker " + connection.index());
         }
-        assertEquals(live.faults, List.of());
+        assertEquals(fixture.failures, List.of());
     }
 
-    // ---- where its job may be ----
+    // ---- states of the job at the close ----
 
     @Test
-    public void aRequestThatWaitsForTheLoopIsNotBegun() throws Exception {
-        Accepted[] rested = rested(1);
-        live.on(() -> {
+    public void requestQueuedForLoopIsNotStarted() throws Exception {
+        AcceptedConnection[] idle = openIdle(1);
+        fixture.runOnLoop(() -> {
             Socket client = client("a-1");
-            pass();
-            holdSelector();
-            leave(client);
+            awaitReadPass();
+            blockSelector();
+            disconnect(client);
             return null;
         });
-        assertNothingBegan(rested);
+        assertNothingStarted(idle);
     }
 
     @Test
-    public void aJobThatIsHeldWhileItsWorkersRestIsNotBegun() throws Exception {
-        Accepted[] rested = rested(1);
-        letPeriodsPass();
-        live.stopClock();
+    public void jobHeldDuringWorkerBackOffIsNotStarted() throws Exception {
+        AcceptedConnection[] idle = openIdle(1);
+        waitForPeriods();
+        fixture.stopClock();
         CompletableFuture<String> turnedAway = new CompletableFuture<>();
-        live.on(() -> live.take("b-1", turnedAway));
-        rested[0].head();
-        returned(rested[0], "b-1");
-        pass();
+        fixture.runOnLoop(() -> fixture.submit("b-1", turnedAway));
+        idle[0].readHead();
+        respondReturned(idle[0], "b-1");
+        awaitReadPass();
         Socket client = client("a-1");
-        pass();
-        live.on(() -> null);
-        holdSelector();
-        leave(client);
-        // The worker's back-off is over, which was some of its short jobs long.
+        awaitReadPass();
+        fixture.runOnLoop(() -> null);
+        blockSelector();
+        disconnect(client);
+        // Past the worker's back-off, which lasts for several of its short jobs.
         for (int period = 0; period < 40; period++) {
-            live.forward(PERIOD);
+            fixture.advanceClock(PERIOD_MICROS);
         }
-        assertNothingBegan(rested);
+        assertNothingStarted(idle);
     }
 
     @Test
-    public void aFurtherAttemptIsNotBegun() throws Exception {
-        Accepted[] rested = rested(2);
+    public void furtherAttemptIsNotStarted() throws Exception {
+        AcceptedConnection[] idle = openIdle(2);
         Socket client = client("a-1");
-        Accepted tried = awaitFirst(rested);
-        tried.head();
-        live.on(() -> {
-            returned(tried, "a-1");
-            pass();
-            holdSelector();
-            leave(client);
+        AcceptedConnection attempted = awaitFirst(idle);
+        attempted.readHead();
+        fixture.runOnLoop(() -> {
+            respondReturned(attempted, "a-1");
+            awaitReadPass();
+            blockSelector();
+            disconnect(client);
             return null;
         });
-        assertNothingBegan(rested);
+        assertNothingStarted(idle);
     }
 
     @Test
-    public void anAttemptWhoseConnectionJustCameUpIsNotBegun() throws Exception {
-        HttpWorker port = live.port("w1", workers.address(0));
-        live.on(() -> {
-            live.core.updateWorkers(
+    public void attemptOnNewConnectionIsNotStarted() throws Exception {
+        HttpWorker worker = fixture.httpWorker("w1", workers.address(0));
+        fixture.runOnLoop(() -> {
+            fixture.core.updateWorkers(
                     ListKind.WHOLE,
                     List.of(new Worker(1, 0, 0, 0, WorkerState.READY, 0)),
-                    Map.of(1L, live.crossed(port)));
+                    Map.of(1L, fixture.withHooks(worker)));
             return null;
         });
         CompletableFuture<Socket> client = new CompletableFuture<>();
-        CompletableFuture<Accepted> crossed = live.cross(() -> {
-            Accepted up = workers.next();
-            pass();
-            holdSelector();
-            leave(client.get());
-            return up;
+        CompletableFuture<AcceptedConnection> connected = fixture.runAfterNextStart(() -> {
+            AcceptedConnection connection = workers.nextConnection();
+            awaitReadPass();
+            blockSelector();
+            disconnect(client.get());
+            return connection;
         });
         client.complete(client("a-1"));
-        assertNothingBegan(crossed.get(5, TimeUnit.SECONDS));
+        assertNothingStarted(connected.get(5, TimeUnit.SECONDS));
     }
 
     @Test
-    public void theNextOfSeveralRequestsIsNotBegun() throws Exception {
-        Accepted[] rested = rested(1);
+    public void nextPipelinedRequestIsNotStarted() throws Exception {
+        AcceptedConnection[] idle = openIdle(1);
         Socket client = client("a-1", "a-2", "a-3");
-        assertTrue(rested[0].head().contains("X-Txn: a-1\r\n"));
-        live.on(() -> {
-            rested[0].answer(Accepted.done("a-1", "ok"));
-            pass();
-            holdSelector();
-            leave(client);
+        assertTrue(idle[0].readHead().contains("X-Txn: a-1\r\n"));
+        fixture.runOnLoop(() -> {
+            idle[0].respond(AcceptedConnection.doneResponse("a-1", "ok"));
+            awaitReadPass();
+            blockSelector();
+            disconnect(client);
             return null;
         });
-        assertNothingBegan(rested);
+        assertNothingStarted(idle);
     }
 
     @Test
-    public void aSecondCopyIsNotBegun() throws Exception {
-        Accepted[] rested = rested(2);
+    public void secondCopyIsNotStarted() throws Exception {
+        AcceptedConnection[] idle = openIdle(2);
         CompletableFuture<Channel> accepted = new CompletableFuture<>();
         InetSocketAddress other = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
-        live.transport.listen(other, HttpCodec.server(live.loop::now, 1_000, live.room), () -> waits(accepted));
+        fixture.transport.listen(
+                other,
+                HttpCodec.server(fixture.loop::now, 1_000, fixture.memoryBudget),
+                () -> completeWhenOpened(accepted));
         Socket client = connect(other);
         Channel channel = accepted.get(5, TimeUnit.SECONDS);
-        long handle = live.on(() -> live.core.submit(leaves(channel), work("a-1", 0), ask()));
-        Accepted tried = awaitFirst(rested);
-        tried.head();
-        live.on(() -> {
-            holdSelector();
-            leave(client);
+        long handle = fixture.runOnLoop(
+                () -> fixture.core.submit(responseHandlerFor(channel), jobSpec("a-1", 0), requestOptions()));
+        AcceptedConnection attempted = awaitFirst(idle);
+        attempted.readHead();
+        fixture.runOnLoop(() -> {
+            blockSelector();
+            disconnect(client);
             return null;
         });
-        // Past what counts as known, and with the close unread.
-        letPeriodsPass();
-        live.on(() -> {
-            live.core.send(handle, 2 - tried.place());
+        // Until the last pass over the connections is too old to rely on, with the close still unread.
+        waitForPeriods();
+        fixture.runOnLoop(() -> {
+            fixture.core.send(handle, 2 - attempted.index());
             return null;
         });
-        assertNothingBegan(rested);
+        assertNothingStarted(idle);
     }
 
-    /** Danger: reading paused after some reads that wait for the loop, and with it word of the close. */
+    /** Reading was paused once several reads were queued for the loop, so the close was not seen either. */
     @Test
-    public void manyRequestsInPiecesThatWaitForTheLoopAreNotBegun() throws Exception {
-        Accepted[] rested = rested(1);
-        live.on(() -> {
-            int before = live.transport.connectionCount();
+    public void requestsOfManyQueuedReadsAreNotStarted() throws Exception {
+        AcceptedConnection[] idle = openIdle(1);
+        fixture.runOnLoop(() -> {
+            int before = fixture.transport.connectionCount();
             Socket client = client("a-1");
             for (int i = 2; i <= 8; i++) {
-                int seen = reads.count();
-                client.getOutputStream().write(LiveCore.job("a-" + i));
-                LiveCore.await(() -> reads.count() > seen);
+                int readsBefore = reads.readCount();
+                client.getOutputStream().write(CoreFixture.request("a-" + i));
+                CoreFixture.await(() -> reads.readCount() > readsBefore);
             }
-            leave(client);
-            LiveCore.await(() -> live.transport.connectionCount() == before);
+            disconnect(client);
+            CoreFixture.await(() -> fixture.transport.connectionCount() == before);
             return null;
         });
-        assertNothingBegan(rested);
+        assertNothingStarted(idle);
     }
 
-    /** More than is read before the loop takes any of it: the close is known only later. */
+    /** More input than is read ahead of the loop: reading is paused, and the close is seen only later. */
     @Test
-    public void muchThatWaitsForTheLoopIsNotBegun() throws Exception {
-        Accepted[] rested = rested(1);
+    public void requestsOfLargeQueuedInputAreNotStarted() throws Exception {
+        AcceptedConnection[] idle = openIdle(1);
         String body = "x".repeat(4_000);
-        live.on(() -> {
-            int before = reads.count();
-            Socket client = connect(at);
+        fixture.runOnLoop(() -> {
+            int before = reads.readCount();
+            Socket client = connect(address);
             for (int i = 1; i <= 15; i++) {
                 client.getOutputStream()
                         .write(HttpMessageBuilder.ascii("POST /estado HTTP/1.1\r\nX-Txn: a-" + i
                                 + "\r\nX-Remaining-Ms: 1800\r\nContent-Length: 4000\r\n\r\n" + body));
             }
-            LiveCore.await(() -> reads.count() >= before + 5);
-            leave(client);
+            CoreFixture.await(() -> reads.readCount() >= before + 5);
+            disconnect(client);
             return null;
         });
-        assertNothingBegan(rested);
+        assertNothingStarted(idle);
     }
 
-    /** The first byte is out before the leave; the rest never is, so the job never counts as sent. */
+    /** The first byte is written before the job is withdrawn; the rest never is, so the job does not count as sent. */
     @Test
-    public void aRequestThatIsWrittenInPartIsNotFinished() throws Exception {
-        list(1);
+    public void partlyWrittenRequestIsNotCompleted() throws Exception {
+        listWorkers(1);
         int size = 16 << 20;
-        long handle = live.on(() -> live.core.submit(leaves(null), work("a-1", size), ask()));
-        Accepted up = workers.next();
-        assertEquals(up.socket().getInputStream().read(), 'P');
-        live.on(() -> live.core.withdraw(handle));
-        int got = 1;
+        long handle = fixture.runOnLoop(
+                () -> fixture.core.submit(responseHandlerFor(null), jobSpec("a-1", size), requestOptions()));
+        AcceptedConnection connection = workers.nextConnection();
+        assertEquals(connection.socket().getInputStream().read(), 'P');
+        fixture.runOnLoop(() -> fixture.core.withdraw(handle));
+        int receivedBytes = 1;
         try {
             byte[] piece = new byte[1 << 16];
-            for (int n = up.socket().getInputStream().read(piece);
+            for (int n = connection.socket().getInputStream().read(piece);
                     n >= 0;
-                    n = up.socket().getInputStream().read(piece)) {
-                got += n;
+                    n = connection.socket().getInputStream().read(piece)) {
+                receivedBytes += n;
             }
         } catch (IOException e) {
-            // A reset is an end, too.
+            // A reset also ends the connection.
         }
-        assertTrue(got < size, got + " bytes came");
-        assertTrue(workers.quiet());
-        assertEquals(live.faults, List.of());
+        assertTrue(receivedBytes < size, receivedBytes + " bytes received");
+        assertTrue(workers.hasNoNewConnection());
+        assertEquals(fixture.failures, List.of());
     }
 
-    /** A Faktory client's job goes through the same gate. */
+    /** A Faktory client's job passes the same check. */
     @Test
-    public void aPushedJobThatWaitsForTheLoopIsNotBegun() throws Exception {
-        Accepted[] rested = rested(1);
+    public void pushedFaktoryJobQueuedForLoopIsNotStarted() throws Exception {
+        AcceptedConnection[] idle = openIdle(1);
         InetSocketAddress faktory = listenFaktory();
         Socket client = connect(faktory);
         client.getOutputStream().write(HttpMessageBuilder.ascii("HELLO {\"v\":2}\r\n"));
         awaitText(client, "+OK\r\n");
-        live.on(() -> {
-            int before = live.transport.connectionCount();
+        fixture.runOnLoop(() -> {
+            int before = fixture.transport.connectionCount();
             client.getOutputStream()
                     .write(HttpMessageBuilder.ascii("PUSH {\"jid\":\"a-1-of-faktory\","
                             + "\"jobtype\":\"estado\",\"queue\":\"default\",\"args\":[]}\r\n"));
-            leave(client);
-            LiveCore.await(() -> live.transport.connectionCount() == before - 1);
+            disconnect(client);
+            CoreFixture.await(() -> fixture.transport.connectionCount() == before - 1);
             return null;
         });
-        assertNothingBegan(rested);
+        assertNothingStarted(idle);
     }
 
-    // ---- tools ----
+    // ---- helpers ----
 
-    private static void returned(Accepted at, String id) throws IOException {
+    private static void respondReturned(AcceptedConnection connection, String id) throws IOException {
         String line = "{\"id\":\"" + id + "\",\"state\":\"returned\"}\n";
-        at.answer("HTTP/1.1 200 OK\r\nContent-Length: " + line.length() + "\r\n\r\n" + line);
+        connection.respond("HTTP/1.1 200 OK\r\nContent-Length: " + line.length() + "\r\n\r\n" + line);
     }
 
-    /** Whichever of them something comes to first. */
-    private static Accepted awaitFirst(Accepted[] all) throws Exception {
-        CompletableFuture<Accepted> first = new CompletableFuture<>();
-        LiveCore.await(() -> {
-            for (Accepted each : all) {
+    /** Waits for the first of the connections on which input arrives. */
+    private static AcceptedConnection awaitFirst(AcceptedConnection[] all) throws Exception {
+        CompletableFuture<AcceptedConnection> first = new CompletableFuture<>();
+        CoreFixture.await(() -> {
+            for (AcceptedConnection connection : all) {
                 try {
-                    if (each.socket().getInputStream().available() > 0) {
-                        first.complete(each);
+                    if (connection.socket().getInputStream().available() > 0) {
+                        first.complete(connection);
                     }
                 } catch (IOException e) {
                     first.completeExceptionally(e);
@@ -403,9 +409,9 @@
     }
 
     private static void awaitText(Socket from, String end) throws IOException {
-        StringBuilder got = new StringBuilder();
-        while (!got.toString().endsWith(end)) {
-            got.append((char) from.getInputStream().read());
+        StringBuilder received = new StringBuilder();
+        while (!received.toString().endsWith(end)) {
+            received.append((char) from.getInputStream().read());
         }
     }
 
@@ -425,31 +431,32 @@
                 List.of("estado"),
                 Map.of("estado", new JobClassInfo(0, 2_000_000, false, false)),
                 null);
-        FaktoryFront front = live.on(() -> new FaktoryFront(
-                live.loop,
-                live.core,
+        FaktoryFront frontend = fixture.runOnLoop(() -> new FaktoryFront(
+                fixture.loop,
+                fixture.core,
                 terms,
                 new Tenants(List.of()),
                 new ContractGate(
-                        live.loop,
+                        fixture.loop,
                         0,
-                        new ThrottledWarnings(live.loop, Logger.getLogger(ClientLeftTest.class.getName()), "answers")),
+                        new ThrottledWarnings(
+                                fixture.loop, Logger.getLogger(ClientLeftTest.class.getName()), "answers")),
                 1,
-                live.room,
+                fixture.memoryBudget,
                 wid -> false));
-        live.transport.listen(to, new FaktoryCodec(live.room), front::accept);
+        fixture.transport.listen(to, new FaktoryCodec(fixture.memoryBudget), frontend::accept);
         return to;
     }
 
-    private static JobSpec work(String id, int size) {
+    private static JobSpec jobSpec(String id, int size) {
         return new JobSpec(id, 0, null, null, null, new byte[size]);
     }
 
-    private RequestOptions ask() {
-        return new RequestOptions(live.loop.now(), 1_800_000, false, 0, 0, 1, 0);
+    private RequestOptions requestOptions() {
+        return new RequestOptions(fixture.loop.now(), 1_800_000, false, 0, 0, 1, 0);
     }
 
-    private static ChannelListener waits(CompletableFuture<Channel> accepted) {
+    private static ChannelListener completeWhenOpened(CompletableFuture<Channel> accepted) {
         return new ChannelListener() {
             @Override
             public void opened(Channel channel) {
@@ -458,32 +465,32 @@
 
             @Override
             public void received(Object messages) {
-                // Its job was taken for it.
+                // The test submits the job itself.
             }
 
             @Override
             public void closed() {
-                // The core is asked no more; the gate has to know by itself.
+                // The core is not notified of the close; the check before the write must detect it.
             }
         };
     }
 
-    /** A front whose client's connection is that one; null for one that stays. */
-    private static ResponseHandler leaves(Channel channel) {
+    /** A response handler whose client has left once this connection is closed; with null, the client never leaves. */
+    private static ResponseHandler responseHandlerFor(Channel channel) {
         return new ResponseHandler() {
             @Override
             public void served(byte[] result) {
-                // Nobody waits for it.
+                // The test does not check the answer.
             }
 
             @Override
             public void refused(long waitMicros) {
-                // Nobody waits for it.
+                // The test does not check the answer.
             }
 
             @Override
             public void failed() {
-                // Nobody waits for it.
+                // The test does not check the answer.
             }
 
             @Override
--- a/src/test/java/gorserill/protocol/http/ClosingTest.java
+++ b/src/test/java/gorserill/protocol/http/ClosingTest.java
@@ -8,7 +8,7 @@
 import barrowflow.Dispatcher.Worker;
 import barrowflow.Dispatcher.WorkerState;
 import gorserill.protocol.IntakeMode;
-import gorserill.protocol.http.StandInWorkers.Accepted;
+import gorserill.protocol.http.FakeServers.AcceptedConnection;
 import gorserill.routing.Attempt;
 import gorserill.routing.JobSpec;
 import gorserill.routing.Load;
@@ -29,79 +29,81 @@
 import org.testng.annotations.Test;
 
 /**
- * Bytes that arrive in the moment in which the node closes a connection or ends its listening. The selector's
- * thread is held over that moment, with what it has read or before what it has not.
+ * Bytes that arrive at the moment at which the node closes a connection or stops listening. The selector's thread is
+ * blocked meanwhile, either after it has read the bytes or before.
  */
 public class ClosingTest {
-    private LiveCore live;
-    private StandInWorkers workers;
-    private HeldReads reads;
-    private InetSocketAddress at;
+    private CoreFixture fixture;
+    private FakeServers workers;
+    private BlockableReadFilter reads;
+    private InetSocketAddress address;
 
     @BeforeMethod
     public void start() throws Exception {
-        live = new LiveCore(100, true);
-        workers = new StandInWorkers(1);
-        reads = new HeldReads(HttpCodec.server(live.loop::now, HttpFrontend.MAX_BODY_BYTES, live.room));
-        at = live.listen(reads);
+        fixture = new CoreFixture(100, true);
+        workers = new FakeServers(1);
+        reads = new BlockableReadFilter(
+                HttpCodec.server(fixture.loop::now, HttpFrontend.MAX_BODY_BYTES, fixture.memoryBudget));
+        address = fixture.listen(reads);
     }
 
     @AfterMethod
     public void stop() throws Exception {
         reads.release();
-        live.close();
+        fixture.close();
         workers.close();
     }
 
     private void list(WorkerPort port) throws Exception {
-        live.on(() -> {
-            live.core.updateWorkers(
+        fixture.runOnLoop(() -> {
+            fixture.core.updateWorkers(
                     ListKind.WHOLE, List.of(new Worker(1, 0, 0, 0, WorkerState.READY, 0)), Map.of(1L, port));
             return null;
         });
     }
 
     private void listWorker() throws Exception {
-        list(live.port("w1", workers.address(0)));
+        list(fixture.httpWorker("w1", workers.address(0)));
     }
 
     private Socket client(String text) throws IOException {
-        Socket client = new Socket(at.getAddress(), at.getPort());
+        Socket client = new Socket(address.getAddress(), address.getPort());
         client.setSoTimeout(5_000);
         send(client, text);
         return client;
     }
 
     private static String job(String id) {
-        return new String(LiveCore.job(id), StandardCharsets.ISO_8859_1);
+        return new String(CoreFixture.request(id), StandardCharsets.ISO_8859_1);
     }
 
     private static void send(Socket client, String text) throws IOException {
         client.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** What comes up to the end of the connection, or up to the end of an answer that is served. */
-    private static String answer(Socket client, boolean toItsEnd) throws IOException {
-        ByteArrayOutputStream got = new ByteArrayOutputStream();
+    /** Reads up to the end of the connection or, unless {@code untilClosed}, of a response with the body "ok". */
+    private static String answer(Socket client, boolean untilClosed) throws IOException {
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
         try {
             for (int b = client.getInputStream().read();
                     b >= 0;
                     b = client.getInputStream().read()) {
-                got.write(b);
-                if (!toItsEnd && got.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\nok")) {
+                received.write(b);
+                if (!untilClosed
+                        && received.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\nok")) {
                     break;
                 }
             }
         } catch (SocketException e) {
-            got.writeBytes("<reset>".getBytes(StandardCharsets.ISO_8859_1));
+            received.writeBytes("<reset>".getBytes(StandardCharsets.ISO_8859_1));
         }
-        return got.toString(StandardCharsets.ISO_8859_1);
+        return received.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** A worker that is no connection: its answer does not need the selector. */
-    private record Inside(Consumer<Attempt> started) implements WorkerPort {
+    /** A worker in the test itself; its answer does not need the selector's thread. */
+    private record LocalWorker(Consumer<Attempt> started) implements WorkerPort {
         @Override
-        public void start(Attempt attempt, JobSpec work, long expires) {
+        public void start(Attempt attempt, JobSpec job, long expires) {
             started.accept(attempt);
         }
 
@@ -111,26 +113,26 @@
         }
     }
 
-    /** Danger: closed over, it would be carried out for a client that hears nothing of it. */
+    /** Otherwise the request would be carried out, and its client would get no answer. */
     @Test
-    public void aRequestThatIsReadAsItsConnectionIsClosedAtRestIsAnswered() throws Exception {
+    public void requestReadWhileIdleConnectionIsClosedIsAnswered() throws Exception {
         listWorker();
         try (Socket client = client(job("a-1"))) {
-            Accepted worker = workers.next();
-            assertTrue(worker.head().contains("X-Txn: a-1\r\n"));
-            worker.serve();
+            AcceptedConnection worker = workers.nextConnection();
+            assertTrue(worker.readHead().contains("X-Txn: a-1\r\n"));
+            worker.respondDone();
             assertTrue(answer(client, false).startsWith("HTTP/1.1 200 OK\r\n"));
-            reads.hold();
+            reads.blockNextRead();
             send(client, job("a-2"));
-            reads.awaitHeld();
-            live.on(() -> {
-                live.front.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
-                live.front.closeIdle();
+            reads.awaitBlocked();
+            fixture.runOnLoop(() -> {
+                fixture.frontend.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
+                fixture.frontend.closeIdle();
                 return null;
             });
             reads.release();
-            assertTrue(worker.head().contains("X-Txn: a-2\r\n"));
-            worker.serve();
+            assertTrue(worker.readHead().contains("X-Txn: a-2\r\n"));
+            worker.respondDone();
             String answer = answer(client, true);
             assertTrue(answer.startsWith("HTTP/1.1 200 OK\r\nConnection: close\r\n"), answer);
             assertTrue(answer.endsWith("\r\n\r\nok"), answer);
@@ -138,24 +140,24 @@
     }
 
     /**
-     * What is not read when a connection at rest is closed is sent to no worker, and its client hears
-     * nothing.
+     * A request that has not been read when its idle connection is closed is sent to no worker, and its client gets no
+     * answer.
      */
     @Test
-    public void aRequestThatIsNotReadAsItsConnectionIsClosedAtRestIsNotCarriedOut() throws Exception {
+    public void requestNotReadBeforeIdleConnectionIsClosedIsNotCarriedOut() throws Exception {
         listWorker();
         try (Socket client = client(job("a-1"));
                 Socket other = client("")) {
-            Accepted worker = workers.next();
-            assertTrue(worker.head().contains("X-Txn: a-1\r\n"));
-            worker.serve();
+            AcceptedConnection worker = workers.nextConnection();
+            assertTrue(worker.readHead().contains("X-Txn: a-1\r\n"));
+            worker.respondDone();
             assertTrue(answer(client, false).startsWith("HTTP/1.1 200 OK\r\n"));
-            reads.hold();
+            reads.blockNextRead();
             send(other, "PO");
-            reads.awaitHeld();
-            live.on(() -> {
-                live.front.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
-                live.front.closeIdle();
+            reads.awaitBlocked();
+            fixture.runOnLoop(() -> {
+                fixture.frontend.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
+                fixture.frontend.closeIdle();
                 return null;
             });
             send(client, job("a-2"));
@@ -163,24 +165,24 @@
             String answer = answer(client, true);
             assertTrue(answer.isEmpty() || answer.equals("<reset>"), answer);
             CompletableFuture<String> next = new CompletableFuture<>();
-            live.on(() -> live.take("a-3", next));
-            assertTrue(worker.head().contains("X-Txn: a-3\r\n"));
+            fixture.runOnLoop(() -> fixture.submit("a-3", next));
+            assertTrue(worker.readHead().contains("X-Txn: a-3\r\n"));
         }
     }
 
-    /** Danger: the end of listening resets whom the system has accepted for the node, request and all. */
+    /** Closing the listening socket resets connections in the kernel's backlog, including requests already sent. */
     @Test
-    public void whoWaitsInTheBacklogAsListeningEndsIsServed() throws Exception {
-        list(new Inside(attempt -> live.loop.execute(
+    public void clientsInBacklogWhenListeningStopsAreServed() throws Exception {
+        list(new LocalWorker(attempt -> fixture.loop.execute(
                 () -> attempt.ended(Outcome.SERVED, "ok".getBytes(StandardCharsets.ISO_8859_1), Load.NONE))));
         try (Socket busy = client("")) {
-            reads.hold();
+            reads.blockNextRead();
             send(busy, "PO");
-            reads.awaitHeld();
+            reads.awaitBlocked();
             try (Socket first = client(job("a-1"));
                     Socket second = client(job("a-2"))) {
-                live.on(() -> {
-                    live.listening.stopAccepting();
+                fixture.runOnLoop(() -> {
+                    fixture.listener.stopAccepting();
                     return null;
                 });
                 reads.release();
@@ -191,27 +193,27 @@
     }
 
     /**
-     * Danger: a close over unread bytes resets the connection, and what the system has not yet sent goes with
-     * it. The client's small window keeps most of the answer back until it reads.
+     * Closing a socket with unread input resets the connection, and output that the kernel has not sent yet is lost.
+     * The client's small receive window keeps most of the answer unsent until the client reads.
      */
     @Test
-    public void theLastAnswerOutlivesBytesThatWereNeverRead() throws Exception {
+    public void lastAnswerIsDeliveredDespiteUnreadInput() throws Exception {
         CompletableFuture<Attempt> started = new CompletableFuture<>();
-        list(new Inside(started::complete));
+        list(new LocalWorker(started::complete));
         try (Socket busy = client("");
                 Socket client = new Socket()) {
             client.setReceiveBufferSize(2_048);
             client.setSoTimeout(5_000);
-            client.connect(at);
+            client.connect(address);
             send(client, job("a-1"));
             Attempt attempt = started.get(5, TimeUnit.SECONDS);
-            reads.hold();
+            reads.blockNextRead();
             send(busy, "PO");
-            reads.awaitHeld();
+            reads.awaitBlocked();
             send(client, "POST /estado HTTP/1.1\r\n");
             byte[] result = "x".repeat(12_000).getBytes(StandardCharsets.ISO_8859_1);
-            live.on(() -> {
-                live.front.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
+            fixture.runOnLoop(() -> {
+                fixture.frontend.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
                 attempt.ended(Outcome.SERVED, result, Load.NONE);
                 return null;
             });
--- a/src/test/java/gorserill/protocol/http/HttpProbeTest.java
+++ b/src/test/java/gorserill/protocol/http/HttpProbeTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A worker that is asked for its load, and what it may answer instead. */
+/** Load probes of a worker, with valid and invalid answers. */
 public class HttpProbeTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nContent-Length: ";
 
@@ -39,9 +39,9 @@
         };
     }
 
-    /** Whatever comes, each call is answered once, and the next one is asked. */
+    /** Whatever the worker answers, each probe is completed exactly once, and the next one is sent. */
     @Test(dataProvider = "answers")
-    public void eachCallIsAnsweredOnce(String answer, double slots) throws Exception {
+    public void eachProbeIsCompletedOnce(String answer, double slots) throws Exception {
         Loop loop = new Loop(e -> {});
         Transport transport = new Transport(loop, 50, SiblingProcesses.none());
         transport.start();
@@ -59,10 +59,10 @@
                             new ThrottledWarnings(loop, Logger.getLogger(HttpProbeTest.class.getName()), "answers")),
                     "w1",
                     (InetSocketAddress) server.getLocalSocketAddress());
-            CompletableFuture<Load> first = ask(loop, worker);
-            Socket socket = asked(server, null);
-            CompletableFuture<Load> meanwhile = ask(loop, worker);
-            assertEquals(meanwhile.get(5, TimeUnit.SECONDS), Load.NONE, "one call is open already");
+            CompletableFuture<Load> first = probe(loop, worker);
+            Socket socket = awaitProbe(server, null);
+            CompletableFuture<Load> meanwhile = probe(loop, worker);
+            assertEquals(meanwhile.get(5, TimeUnit.SECONDS), Load.NONE, "a probe is already outstanding");
             socket.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
             socket.getOutputStream().flush();
             if (answer.endsWith("\"util\"")) {
@@ -73,8 +73,8 @@
                     || answer.contains("503")
                     || answer.contains("[42]")
                     || answer.contains("many");
-            CompletableFuture<Load> second = ask(loop, worker);
-            Socket next = asked(server, kept ? socket : null);
+            CompletableFuture<Load> second = probe(loop, worker);
+            Socket next = awaitProbe(server, kept ? socket : null);
             next.getOutputStream().write((HEAD + "8\r\n\r\n{\"x0\":2}").getBytes(StandardCharsets.US_ASCII));
             assertEquals(second.get(5, TimeUnit.SECONDS).freeSlots(), 2.0);
         } finally {
@@ -84,7 +84,7 @@
     }
 
     @Test
-    public void aWorkerThatIsGoneTellsNothing() throws Exception {
+    public void unreachableWorkerReportsNoLoad() throws Exception {
         Loop loop = new Loop(e -> {});
         Transport transport = new Transport(loop, 50, SiblingProcesses.none());
         transport.start();
@@ -102,37 +102,37 @@
                             new ThrottledWarnings(loop, Logger.getLogger(HttpProbeTest.class.getName()), "answers")),
                     "w1",
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 9));
-            assertEquals(ask(loop, worker).get(5, TimeUnit.SECONDS), Load.NONE);
+            assertEquals(probe(loop, worker).get(5, TimeUnit.SECONDS), Load.NONE);
         } finally {
             transport.stop();
             loop.stop();
         }
     }
 
-    private static CompletableFuture<Load> ask(Loop loop, HttpWorker worker) {
-        CompletableFuture<Load> told = new CompletableFuture<>();
+    private static CompletableFuture<Load> probe(Loop loop, HttpWorker worker) {
+        CompletableFuture<Load> result = new CompletableFuture<>();
         loop.execute(() -> worker.probe(load -> {
-            if (!told.complete(load)) {
+            if (!result.complete(load)) {
                 throw new IllegalStateException("answered twice");
             }
         }));
-        return told;
+        return result;
     }
 
-    /** Waits for a whole call, on a new connection or on one that is kept. */
-    private static Socket asked(ServerSocket server, Socket kept) throws IOException {
+    /** Waits for a complete probe request, on a new connection or on a kept one. */
+    private static Socket awaitProbe(ServerSocket server, Socket kept) throws IOException {
         server.setSoTimeout(5_000);
         Socket socket = kept == null ? server.accept() : kept;
         socket.setSoTimeout(5_000);
-        StringBuilder got = new StringBuilder();
-        while (!got.toString().endsWith("\r\n\r\n")) {
+        StringBuilder received = new StringBuilder();
+        while (!received.toString().endsWith("\r\n\r\n")) {
             int read = socket.getInputStream().read();
             if (read < 0) {
-                throw new IOException("the call was cut off: " + got);
+                throw new IOException("the probe request is incomplete: " + received);
             }
-            got.append((char) read);
+            received.append((char) read);
         }
-        assertEquals(got.substring(0, 14), "GET /load HTTP");
+        assertEquals(received.substring(0, 14), "GET /load HTTP");
         return socket;
     }
 }
--- a/src/test/java/gorserill/protocol/http/HttpWatchTest.java
+++ b/src/test/java/gorserill/protocol/http/HttpWatchTest.java
@@ -5,7 +5,7 @@
 
 import gorserill.protocol.discovery.CallPace;
 import gorserill.protocol.discovery.WorkerListing;
-import gorserill.protocol.http.StandInWorkers.Accepted;
+import gorserill.protocol.http.FakeServers.AcceptedConnection;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -19,31 +19,31 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A watch on a discovery that falls silent or begins anew; the node's clock is the test's to put forward. */
+/** A watch on a discovery service that stops answering or restarts. The test advances the node's clock. */
 public class HttpWatchTest {
-    private static final long WAIT = 5_000;
-    private static final long AFTER_FAILURE = 1_000;
-    private static final long AFTER_SILENCE = 1_000;
+    private static final long WAIT_MS = 5_000;
+    private static final long WAIT_AFTER_FAILURE_MS = 1_000;
+    private static final long TIMEOUT_AFTER_SILENCE_MS = 1_000;
     private static final String TURNED_AWAY = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
-    private BlockingQueue<WorkerListing> heard;
+    private BlockingQueue<WorkerListing> received;
     private List<String> failed;
-    private LiveCore live;
-    private StandInWorkers discovery;
+    private CoreFixture fixture;
+    private FakeServers discovery;
 
     @BeforeMethod
     public void start() throws Exception {
-        // Danger: what a test before this one left on its loop must not be heard by this one.
-        heard = new LinkedBlockingQueue<>();
+        // New collections for each test, so that events still queued on an earlier test's loop do not reach this one.
+        received = new LinkedBlockingQueue<>();
         failed = new CopyOnWriteArrayList<>();
-        live = new LiveCore(100, true);
-        live.stopClock();
-        discovery = new StandInWorkers(1);
+        fixture = new CoreFixture(100, true);
+        fixture.stopClock();
+        discovery = new FakeServers(1);
     }
 
     @AfterMethod
     public void stop() throws Exception {
-        live.close();
+        fixture.close();
         discovery.close();
     }
 
@@ -52,13 +52,13 @@
     }
 
     private HttpWatch watch(InetSocketAddress address, WorkerListing known, CallPace pace) throws Exception {
-        BlockingQueue<WorkerListing> into = heard;
+        BlockingQueue<WorkerListing> into = received;
         List<String> failures = failed;
-        return live.on(() -> {
+        return fixture.runOnLoop(() -> {
             HttpWatch watch = new HttpWatch(
-                    live.loop,
-                    live.transport,
-                    live.transport.chain(HttpCodec.client(live.loop, 1_000_000)),
+                    fixture.loop,
+                    fixture.transport,
+                    fixture.transport.chain(HttpCodec.client(fixture.loop, 1_000_000)),
                     address,
                     pace,
                     into::add,
@@ -79,221 +79,225 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private static void assertAsks(Accepted call, String target) throws Exception {
-        String head = call.head();
+    private static void assertRequests(AcceptedConnection call, String target) throws Exception {
+        String head = call.readHead();
         assertTrue(head.startsWith("GET /v1/servers" + target + " HTTP/1.1\r\n"), head);
     }
 
     /**
-     * The silence begins with the call, the earliest that it can. Danger: taken for a refusal it is followed
-     * by a rest, and by one more in turn, and what it hid counts as told before the next answer can come.
+     * The service is silent from the moment of the call, the earliest possible. If the silence were treated as a
+     * refusal, a pause would follow after each call, and changes written meanwhile would count as delivered before
+     * the next answer could arrive.
      */
     @Test
-    public void aWatchThatFallsSilentIsOpenedAnewLongBeforeWhatItMissedCountsAsTold() throws Exception {
+    public void silentWatchIsReopenedBeforeMissedChangesCountAsDelivered() throws Exception {
         watch(known(41), false);
-        assertAsks(discovery.next(), "?index=41&wait=" + WAIT);
-        live.forward((Math.max(6_000, WAIT + 2_000) - 1_500) * 1_000);
+        assertRequests(discovery.nextConnection(), "?index=41&wait=" + WAIT_MS);
+        fixture.advanceClock((Math.max(6_000, WAIT_MS + 2_000) - 1_500) * 1_000);
         for (int i = 0; i < 2; i++) {
-            assertAsks(discovery.next(), "?index=41&wait=0");
-            live.forward(AFTER_SILENCE * 1_000);
+            assertRequests(discovery.nextConnection(), "?index=41&wait=0");
+            fixture.advanceClock(TIMEOUT_AFTER_SILENCE_MS * 1_000);
         }
-        Accepted call = discovery.next();
-        assertAsks(call, "?index=41&wait=0");
-        call.answer(list(42, false));
-        assertEquals(heard.poll(5, TimeUnit.SECONDS).index(), 42);
-        assertAsks(call, "?index=42&wait=" + WAIT);
-        assertEquals(live.on(() -> List.copyOf(failed)), List.of());
+        AcceptedConnection call = discovery.nextConnection();
+        assertRequests(call, "?index=41&wait=0");
+        call.respond(list(42, false));
+        assertEquals(received.poll(5, TimeUnit.SECONDS).index(), 42);
+        assertRequests(call, "?index=42&wait=" + WAIT_MS);
+        assertEquals(fixture.runOnLoop(() -> List.copyOf(failed)), List.of());
     }
 
     /**
-     * One of many callers that is turned away rests by their number. Danger: a call that waited too long costs the
-     * service as much as one that it answers, and the retries of all would keep it from answering any.
+     * After a refusal, the pause grows with the number of callers. A call that waited too long costs the service as
+     * much as one that it answers, so the retries of all callers would keep it from answering any.
      */
     @Test
-    public void oneOfManyThatIsTurnedAwayRestsLongerThanTheModuleAsks() throws Exception {
+    public void refusedCallerAmongManyPausesLongerThanTheDispatcherAsks() throws Exception {
         HttpWatch watch =
                 watch(discovery.address(0), new WorkerListing(0, true, List.of()), new CallPace(100, false, 1));
-        Accepted call = discovery.next();
-        assertAsks(call, "");
-        live.forward(2_000_000);
-        call.answer(TURNED_AWAY);
-        LiveCore.await(() -> !failed.isEmpty());
-        live.forward(1_000_000);
-        live.on(() -> {
+        AcceptedConnection call = discovery.nextConnection();
+        assertRequests(call, "");
+        fixture.advanceClock(2_000_000);
+        call.respond(TURNED_AWAY);
+        CoreFixture.await(() -> !failed.isEmpty());
+        fixture.advanceClock(1_000_000);
+        fixture.runOnLoop(() -> {
             watch.start();
             return null;
         });
-        live.forward(450_000);
-        assertTrue(discovery.quiet());
-        live.forward(1_600_000);
-        assertAsks(discovery.next(), "");
-        assertEquals(live.on(() -> List.copyOf(failed)), List.of("failed"));
+        fixture.advanceClock(450_000);
+        assertTrue(discovery.hasNoNewConnection());
+        fixture.advanceClock(1_600_000);
+        assertRequests(discovery.nextConnection(), "");
+        assertEquals(fixture.runOnLoop(() -> List.copyOf(failed)), List.of("failed"));
     }
 
-    /** Danger: a fleet that is restarted at once would call at once. */
+    /** Otherwise all nodes of a fleet that is restarted at once would call at the same moment. */
     @Test
-    public void oneOfManyThatKnowsAListMakesItsFirstCallSomeTimeLater() throws Exception {
+    public void callerAmongManyThatHasAListDelaysItsFirstCall() throws Exception {
         watch(discovery.address(0), known(41), new CallPace(100, false, 3));
-        live.forward(50_000);
-        assertTrue(discovery.quiet());
-        live.forward(2_950_000);
-        assertTrue(discovery.next().head().startsWith("GET /v1/servers?index=41&wait="));
+        fixture.advanceClock(50_000);
+        assertTrue(discovery.hasNoNewConnection());
+        fixture.advanceClock(2_950_000);
+        assertTrue(discovery.nextConnection().readHead().startsWith("GET /v1/servers?index=41&wait="));
     }
 
-    /** Danger: a service that refuses at once, asked again at once by all nodes, has no time for anything else. */
+    /**
+     * A service that refuses immediately would otherwise be called again immediately by all nodes, and get
+     * overloaded.
+     */
     @Test
-    public void aCallThatIsTurnedAwayAtOnceIsFollowedByARest() throws Exception {
+    public void immediateRefusalIsFollowedByAPause() throws Exception {
         watch(known(41), false);
-        Accepted call = discovery.next();
-        assertAsks(call, "?index=41&wait=" + WAIT);
-        call.answer(list(42, false));
-        assertEquals(heard.poll(5, TimeUnit.SECONDS).index(), 42);
-        assertAsks(call, "?index=42&wait=" + WAIT);
-        live.forward(900_000);
-        call.answer(TURNED_AWAY);
-        LiveCore.await(() -> !failed.isEmpty());
-        assertEquals(live.on(() -> List.copyOf(failed)), List.of("failed"));
+        AcceptedConnection call = discovery.nextConnection();
+        assertRequests(call, "?index=41&wait=" + WAIT_MS);
+        call.respond(list(42, false));
+        assertEquals(received.poll(5, TimeUnit.SECONDS).index(), 42);
+        assertRequests(call, "?index=42&wait=" + WAIT_MS);
+        fixture.advanceClock(900_000);
+        call.respond(TURNED_AWAY);
+        CoreFixture.await(() -> !failed.isEmpty());
+        assertEquals(fixture.runOnLoop(() -> List.copyOf(failed)), List.of("failed"));
     }
 
-    /** A connection that does not come up within a second is tried anew at once: it has waited long enough. */
+    /** A connection not established within a second is retried without a further pause. */
     @Test
-    public void aConnectionThatNeverComesUpIsTriedAnewAfterASecond() throws Exception {
+    public void connectionNotEstablishedIsRetriedAfterASecond() throws Exception {
         InetAddress loopback = InetAddress.getLoopbackAddress();
         try (ServerSocket busy = new ServerSocket(0, 1, loopback);
                 Socket first = new Socket(loopback, busy.getLocalPort());
                 Socket second = new Socket(loopback, busy.getLocalPort())) {
             watch((InetSocketAddress) busy.getLocalSocketAddress(), known(41), new CallPace(3, false, 1));
             for (int i = 0; i < 3; i++) {
-                live.forward(1_000_000);
+                fixture.advanceClock(1_000_000);
             }
-            assertEquals(live.on(() -> List.copyOf(failed)), List.of());
+            assertEquals(fixture.runOnLoop(() -> List.copyOf(failed)), List.of());
             busy.accept().close();
             busy.accept().close();
-            live.forward(1_000_000);
-            assertAsks(new Accepted(0, busy.accept()), "?index=41&wait=" + AFTER_FAILURE);
-            assertEquals(live.on(() -> List.copyOf(failed)), List.of());
+            fixture.advanceClock(1_000_000);
+            assertRequests(new AcceptedConnection(0, busy.accept()), "?index=41&wait=" + WAIT_AFTER_FAILURE_MS);
+            assertEquals(fixture.runOnLoop(() -> List.copyOf(failed)), List.of());
         }
     }
 
-    /** The same for a first call for the whole list, which does not wait for news. */
+    /** The first call, for the whole list, is repeated too; it does not wait for changes. */
     @Test
-    public void aFirstCallThatIsNeverAnsweredIsMadeAnewBeforeSixSeconds() throws Exception {
+    public void unansweredFirstCallIsRepeatedWithinSixSeconds() throws Exception {
         watch(new WorkerListing(0, true, List.of()), false);
-        assertAsks(discovery.next(), "");
-        live.forward(4_500_000);
-        assertAsks(discovery.next(), "");
-        assertEquals(live.on(() -> List.copyOf(failed)), List.of());
+        assertRequests(discovery.nextConnection(), "");
+        fixture.advanceClock(4_500_000);
+        assertRequests(discovery.nextConnection(), "");
+        assertEquals(fixture.runOnLoop(() -> List.copyOf(failed)), List.of());
     }
 
-    /** Danger: its word counts as told 4 s after the move, and the first call is not heard. */
+    /** What the new agent has written counts as delivered 4 s after the move, even if the first call gets no answer. */
     @Test
-    public void anAgentThatIsMovedToAndSaysNothingIsAskedTwiceMoreWithinFourSeconds() throws Exception {
-        try (StandInWorkers other = new StandInWorkers(1)) {
+    public void silentNewAgentIsCalledTwiceMoreWithinFourSeconds() throws Exception {
+        try (FakeServers other = new FakeServers(1)) {
             HttpWatch watch = watch(known(41), true);
-            assertAsks(discovery.next(), "");
-            live.on(() -> {
+            assertRequests(discovery.nextConnection(), "");
+            fixture.runOnLoop(() -> {
                 watch.moveTo(other.address(0));
                 return null;
             });
-            assertAsks(other.next(), "");
-            live.forward(1_500_000);
-            assertAsks(other.next(), "");
-            live.forward(1_500_000);
-            Accepted third = other.next();
-            assertAsks(third, "");
-            third.answer(list(5, true));
-            assertEquals(heard.poll(5, TimeUnit.SECONDS).index(), 5);
+            assertRequests(other.nextConnection(), "");
+            fixture.advanceClock(1_500_000);
+            assertRequests(other.nextConnection(), "");
+            fixture.advanceClock(1_500_000);
+            AcceptedConnection third = other.nextConnection();
+            assertRequests(third, "");
+            third.respond(list(5, true));
+            assertEquals(received.poll(5, TimeUnit.SECONDS).index(), 5);
         }
     }
 
-    /** Danger: changes counted from a lower index leave out what the service lost when it began anew. */
+    /** Changes since a lower index would leave out what the service lost when it restarted. */
     @Test
-    public void aServiceThatCountsFromAnewIsAskedForItsWholeList() throws Exception {
+    public void serviceWhoseIndexRestartsIsAskedForItsWholeList() throws Exception {
         watch(known(41), false);
-        Accepted call = discovery.next();
-        assertAsks(call, "?index=41&wait=" + WAIT);
-        call.answer(list(7, false));
-        assertAsks(call, "");
-        call.answer(list(8, true));
-        assertAsks(call, "?index=8&wait=" + WAIT);
-        call.answer(list(3, true));
-        assertAsks(call, "?index=3&wait=" + WAIT);
+        AcceptedConnection call = discovery.nextConnection();
+        assertRequests(call, "?index=41&wait=" + WAIT_MS);
+        call.respond(list(7, false));
+        assertRequests(call, "");
+        call.respond(list(8, true));
+        assertRequests(call, "?index=8&wait=" + WAIT_MS);
+        call.respond(list(3, true));
+        assertRequests(call, "?index=3&wait=" + WAIT_MS);
     }
 
-    /** Danger: what discovery has written counts as told, whichever address it came from. */
+    /** What discovery has written counts as delivered, from whichever address. */
     @Test
-    public void anAnswerThatCrossesTheMoveToAnotherAddressIsTakenIn() throws Exception {
-        try (StandInWorkers other = new StandInWorkers(1)) {
+    public void answerThatArrivesDuringTheMoveIsProcessed() throws Exception {
+        try (FakeServers other = new FakeServers(1)) {
             HttpWatch watch = watch(known(41), false);
-            Accepted call = discovery.next();
-            assertAsks(call, "?index=41&wait=" + WAIT);
-            live.on(() -> {
-                call.answer(list(99, true));
+            AcceptedConnection call = discovery.nextConnection();
+            assertRequests(call, "?index=41&wait=" + WAIT_MS);
+            fixture.runOnLoop(() -> {
+                call.respond(list(99, true));
                 watch.moveTo(other.address(0));
                 return null;
             });
-            assertEquals(heard.poll(5, TimeUnit.SECONDS).index(), 99);
-            assertAsks(other.next(), "");
+            assertEquals(received.poll(5, TimeUnit.SECONDS).index(), 99);
+            assertRequests(other.nextConnection(), "");
         }
     }
 
-    /** Danger: an answer that was written before the old address's last word would undo that. */
+    /** An answer written before the last one of the old address would otherwise undo that one. */
     @Test
-    public void anAnswerThatMayBeOlderThanWhatASupersededCallBroughtIsAskedForAgain() throws Exception {
-        try (StandInWorkers other = new StandInWorkers(1)) {
+    public void answerPossiblyOlderThanASupersededCallsIsRequestedAgain() throws Exception {
+        try (FakeServers other = new FakeServers(1)) {
             HttpWatch watch = watch(known(41), false);
-            Accepted call = discovery.next();
-            assertAsks(call, "?index=41&wait=" + WAIT);
-            live.on(() -> {
+            AcceptedConnection call = discovery.nextConnection();
+            assertRequests(call, "?index=41&wait=" + WAIT_MS);
+            fixture.runOnLoop(() -> {
                 watch.moveTo(other.address(0));
                 return null;
             });
-            Accepted moved = other.next();
-            assertAsks(moved, "");
-            call.answer(list(99, false));
-            assertEquals(heard.poll(5, TimeUnit.SECONDS).index(), 99);
-            assertEquals(call.head(), "");
-            moved.answer(list(98, true));
-            assertAsks(moved, "");
-            moved.answer(list(5, true));
-            assertEquals(heard.poll(5, TimeUnit.SECONDS).index(), 5);
-            assertAsks(moved, "?index=5&wait=" + WAIT);
+            AcceptedConnection moved = other.nextConnection();
+            assertRequests(moved, "");
+            call.respond(list(99, false));
+            assertEquals(received.poll(5, TimeUnit.SECONDS).index(), 99);
+            assertEquals(call.readHead(), "");
+            moved.respond(list(98, true));
+            assertRequests(moved, "");
+            moved.respond(list(5, true));
+            assertEquals(received.poll(5, TimeUnit.SECONDS).index(), 5);
+            assertRequests(moved, "?index=5&wait=" + WAIT_MS);
         }
     }
 
-    /** The old address may have been asked before the move, and be older than what the new one has told. */
+    /** The answer of the old address may be older than the list received from the new one. */
     @Test
-    public void whatIsOlderThanThePresentListIsNotTakenFromASupersededCall() throws Exception {
-        try (StandInWorkers other = new StandInWorkers(1)) {
+    public void listOlderThanTheCurrentOneIsIgnoredFromASupersededCall() throws Exception {
+        try (FakeServers other = new FakeServers(1)) {
             HttpWatch watch = watch(known(41), false);
-            Accepted call = discovery.next();
-            assertAsks(call, "?index=41&wait=" + WAIT);
-            live.on(() -> {
+            AcceptedConnection call = discovery.nextConnection();
+            assertRequests(call, "?index=41&wait=" + WAIT_MS);
+            fixture.runOnLoop(() -> {
                 watch.moveTo(other.address(0));
                 return null;
             });
-            Accepted moved = other.next();
-            assertAsks(moved, "");
-            moved.answer(list(60, true));
-            assertEquals(heard.poll(5, TimeUnit.SECONDS).index(), 60);
-            assertAsks(moved, "?index=60&wait=" + WAIT);
-            assertEquals(call.head(), "", "its sending is ended");
-            call.answer(list(50, true));
-            moved.answer(list(61, false));
-            assertEquals(heard.poll(5, TimeUnit.SECONDS).index(), 61);
-            assertTrue(heard.isEmpty());
+            AcceptedConnection moved = other.nextConnection();
+            assertRequests(moved, "");
+            moved.respond(list(60, true));
+            assertEquals(received.poll(5, TimeUnit.SECONDS).index(), 60);
+            assertRequests(moved, "?index=60&wait=" + WAIT_MS);
+            assertEquals(call.readHead(), "", "the node has shut down its output");
+            call.respond(list(50, true));
+            moved.respond(list(61, false));
+            assertEquals(received.poll(5, TimeUnit.SECONDS).index(), 61);
+            assertTrue(received.isEmpty());
         }
     }
 
-    /** A connection that was taken for silent and was only slow. */
+    /** The connection was considered silent but was only slow. */
     @Test
-    public void aLateAnswerAfterASilenceIsTakenIn() throws Exception {
+    public void lateAnswerAfterSilenceIsProcessed() throws Exception {
         watch(known(41), false);
-        Accepted call = discovery.next();
-        assertAsks(call, "?index=41&wait=" + WAIT);
-        live.forward((Math.max(6_000, WAIT + 2_000) - 1_500) * 1_000);
-        assertAsks(discovery.next(), "?index=41&wait=0");
-        call.answer(list(42, false));
-        assertEquals(heard.poll(5, TimeUnit.SECONDS).index(), 42);
+        AcceptedConnection call = discovery.nextConnection();
+        assertRequests(call, "?index=41&wait=" + WAIT_MS);
+        fixture.advanceClock((Math.max(6_000, WAIT_MS + 2_000) - 1_500) * 1_000);
+        assertRequests(discovery.nextConnection(), "?index=41&wait=0");
+        call.respond(list(42, false));
+        assertEquals(received.poll(5, TimeUnit.SECONDS).index(), 42);
     }
 }
--- a/src/test/java/gorserill/protocol/http/ListBeforeSendTest.java
+++ b/src/test/java/gorserill/protocol/http/ListBeforeSendTest.java
@@ -8,7 +8,7 @@
 import barrowflow.Dispatcher.WorkerState;
 import gorserill.protocol.discovery.CallPace;
 import gorserill.protocol.discovery.WorkerListing;
-import gorserill.protocol.http.StandInWorkers.Accepted;
+import gorserill.protocol.http.FakeServers.AcceptedConnection;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -18,38 +18,40 @@
 import org.testng.annotations.Test;
 
 /**
- * Seen beside the incident of {@code MovedDiscoveryTest}: after a process had stood still, jobs went to a worker whose
- * drain discovery had written meanwhile. Cause: the look before the write was reported ahead of what the same look had
- * read, so the list waited behind a burst of requests while the write was let go. Here the loop is held up between the
- * request and the list, both of which were read while it was held; or, as where a whole process stood still, the
- * selector's thread is held, too, with the list in the system.
+ * A worker list that was read before a write is processed before the write. Failure guarded against: after a pause of
+ * the process, jobs went to a worker whose drain discovery had reported meanwhile (see also {@code
+ * MovedDiscoveryTest}). The completion of the read pass before the write was reported ahead of the input of the same
+ * pass, so the write was released while the list was still queued behind a burst of requests. Here the loop is
+ * blocked between the request and the list, which are both read meanwhile; or, as in a pause of the whole process,
+ * the selector's thread is blocked, too, with the list unread in the kernel.
  */
 public class ListBeforeSendTest {
-    /** Milliseconds; a look that takes less counts as fresh. */
-    private static final int BURST = 20;
+    /** Duration of the burst, in milliseconds; processed input of this age still counts as current. */
+    private static final int BURST_MS = 20;
 
-    private static final int READING = 150;
+    /** Time for the selector's thread to queue what it has read, in milliseconds. */
+    private static final int QUEUEING_MS = 150;
 
     private static Worker worker(WorkerState state) {
         return new Worker(1, 0, 0, 0, state, 0);
     }
 
-    private static void hear(LiveCore live, WorkerListing listing) {
+    private static void applyListing(CoreFixture fixture, WorkerListing listing) {
         boolean drains =
                 listing.entries().stream().anyMatch(entry -> entry.status().equals("terminating"));
-        live.core.updateWorkers(
+        fixture.core.updateWorkers(
                 ListKind.CHANGES, List.of(worker(drains ? WorkerState.DRAINING : WorkerState.READY)), Map.of());
     }
 
-    /** A job at the worker, so that a connection rests there. */
-    private static Accepted rest(LiveCore live, StandInWorkers workers) throws Exception {
+    /** Runs a job at the worker, which leaves an idle connection to it. */
+    private static AcceptedConnection openIdleConnection(CoreFixture fixture, FakeServers workers) throws Exception {
         CompletableFuture<String> answer = new CompletableFuture<>();
-        live.on(() -> live.take("first", answer));
-        Accepted at = workers.next();
-        assertTrue(at.head().contains("X-Txn: first\r\n"));
-        at.answer(Accepted.done("first", "ok"));
+        fixture.runOnLoop(() -> fixture.submit("first", answer));
+        AcceptedConnection connection = workers.nextConnection();
+        assertTrue(connection.readHead().contains("X-Txn: first\r\n"));
+        connection.respond(AcceptedConnection.doneResponse("first", "ok"));
         assertEquals(answer.get(5, TimeUnit.SECONDS), "served");
-        return at;
+        return connection;
     }
 
     private static void sleep(int millis) {
@@ -60,7 +62,9 @@
         }
     }
 
-    /** How many workers are named before the one that drains, where a read holds some sixty; who else is held up. */
+    /**
+     * How many workers precede the draining one (a read holds about sixty), and whether the selector is blocked, too.
+     */
     @DataProvider
     public Object[][] others() {
         return new Object[][] {{0, false}, {100, false}, {1_000, false}, {0, true}, {100, true}, {1_000, true}};
@@ -81,47 +85,47 @@
     }
 
     @Test(dataProvider = "others")
-    public void aListThatWasReadIsTakenInBeforeTheNextFirstByte(int others, boolean selectorHeld) throws Exception {
-        try (LiveCore live = new LiveCore(100, true);
-                StandInWorkers workers = new StandInWorkers(1);
-                StandInWorkers discovery = new StandInWorkers(1)) {
-            HttpWorker port = live.port("w1", workers.address(0));
-            HeldReads reads = new HeldReads(HttpCodec.client(live.loop, 1_000_000));
-            live.on(() -> {
-                live.core.updateWorkers(ListKind.WHOLE, List.of(worker(WorkerState.READY)), Map.of(1L, port));
+    public void listThatWasReadIsProcessedBeforeTheNextFirstByte(int others, boolean selectorBlocked) throws Exception {
+        try (CoreFixture fixture = new CoreFixture(100, true);
+                FakeServers workers = new FakeServers(1);
+                FakeServers discovery = new FakeServers(1)) {
+            HttpWorker worker = fixture.httpWorker("w1", workers.address(0));
+            BlockableReadFilter reads = new BlockableReadFilter(HttpCodec.client(fixture.loop, 1_000_000));
+            fixture.runOnLoop(() -> {
+                fixture.core.updateWorkers(ListKind.WHOLE, List.of(worker(WorkerState.READY)), Map.of(1L, worker));
                 new HttpWatch(
-                                live.loop,
-                                live.transport,
-                                live.transport.chainForStateUpdates(reads),
+                                fixture.loop,
+                                fixture.transport,
+                                fixture.transport.chainForStateUpdates(reads),
                                 discovery.address(0),
                                 new CallPace(1, false, 1),
-                                listing -> hear(live, listing),
+                                listing -> applyListing(fixture, listing),
                                 () -> {})
                         .start();
                 return null;
             });
-            Accepted watch = discovery.next();
-            watch.head();
-            Accepted resting = rest(live, workers);
-            CountDownLatch held = new CountDownLatch(1);
-            live.loop.execute(() -> await(held));
+            AcceptedConnection watch = discovery.nextConnection();
+            watch.readHead();
+            AcceptedConnection idle = openIdleConnection(fixture, workers);
+            CountDownLatch loopBlocked = new CountDownLatch(1);
+            fixture.loop.execute(() -> await(loopBlocked));
             CompletableFuture<String> answer = new CompletableFuture<>();
-            live.loop.execute(() -> live.take("late", answer));
-            live.loop.execute(() -> sleep(BURST));
-            if (selectorHeld) {
-                reads.hold();
+            fixture.loop.execute(() -> fixture.submit("late", answer));
+            fixture.loop.execute(() -> sleep(BURST_MS));
+            if (selectorBlocked) {
+                reads.blockNextRead();
             }
-            int before = reads.count();
-            watch.answer(answer(others));
-            LiveCore.await(() -> reads.count() > before);
-            // The read goes on from the codec to the loop's queue.
-            sleep(READING);
-            held.countDown();
-            sleep(BURST / 2);
+            int before = reads.readCount();
+            watch.respond(answer(others));
+            CoreFixture.await(() -> reads.readCount() > before);
+            // The codec queues what was read for the loop.
+            sleep(QUEUEING_MS);
+            loopBlocked.countDown();
+            sleep(BURST_MS / 2);
             reads.release();
-            assertEquals(resting.head(), "", "the resting connection ends, and brings no job");
+            assertEquals(idle.readHead(), "", "the idle connection is closed without a job");
             assertEquals(answer.get(5, TimeUnit.SECONDS), "refused");
-            assertEquals(live.faults, List.of());
+            assertEquals(fixture.failures, List.of());
         }
     }
 
--- a/src/test/java/gorserill/protocol/http/ShortageTest.java
+++ b/src/test/java/gorserill/protocol/http/ShortageTest.java
@@ -13,26 +13,28 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** A node that has no descriptor left for a connection to a worker. */
+/** A node that has no file descriptor left for a connection to a worker. */
 public class ShortageTest {
     /**
-     * Danger: the node's own want of descriptors says nothing of the worker. Held against it, each failure
-     * in a row doubles the worker's bar, and after a shortage of a few seconds every worker stays barred for
-     * seconds after room came back.
+     * The node's own shortage of descriptors says nothing about the worker. If it counted as the worker's failure, each
+     * further one in a row would double the time for which the worker is avoided, and after a shortage of a few seconds
+     * all workers would stay avoided for seconds after descriptors are available again.
      */
     @Test
-    public void aWorkerIsNotBlamedForTheNodesOwnShortage() throws Exception {
-        try (LiveCore live = new LiveCore(0, true)) {
-            HttpWorker port = live.port("w1", new InetSocketAddress("127.0.0.1", 9));
+    public void workerIsNotAvoidedForTheNodesOwnShortage() throws Exception {
+        try (CoreFixture fixture = new CoreFixture(0, true)) {
+            HttpWorker worker = fixture.httpWorker("w1", new InetSocketAddress("127.0.0.1", 9));
             CompletableFuture<String> answer = new CompletableFuture<>();
-            live.on(() -> {
-                live.core.updateWorkers(
-                        ListKind.CACHED, List.of(new Worker(1, 0, 0, 0, WorkerState.READY, 0)), Map.of(1L, port));
-                return live.take("a-1", answer);
+            fixture.runOnLoop(() -> {
+                fixture.core.updateWorkers(
+                        ListKind.CACHED, List.of(new Worker(1, 0, 0, 0, WorkerState.READY, 0)), Map.of(1L, worker));
+                return fixture.submit("a-1", answer);
             });
             assertEquals(answer.get(5, TimeUnit.SECONDS), "refused");
-            assertFalse(live.on(() -> live.core.avoids(1)), "the worker is barred for the node's own shortage");
-            assertEquals(live.faults, List.of());
+            assertFalse(
+                    fixture.runOnLoop(() -> fixture.core.avoids(1)),
+                    "the worker is avoided for the node's own shortage");
+            assertEquals(fixture.failures, List.of());
         }
     }
 }
--- a/src/test/java/gorserill/protocol/http/WriteGateTest.java
+++ b/src/test/java/gorserill/protocol/http/WriteGateTest.java
@@ -9,7 +9,7 @@
 import barrowflow.Dispatcher.ListKind;
 import barrowflow.Dispatcher.Worker;
 import barrowflow.Dispatcher.WorkerState;
-import gorserill.protocol.http.StandInWorkers.Accepted;
+import gorserill.protocol.http.FakeServers.AcceptedConnection;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.util.ArrayList;
@@ -21,112 +21,117 @@
 import org.testng.annotations.Test;
 
 /**
- * What happens between the decision to send a job and its first byte. In each of these the event right behind
- * the decision waits until the connection is up at the worker, and then brings what crosses it: word of the
- * open connection can only follow.
+ * Events between the decision to send a job and its first byte. In most of these tests the loop's event right after
+ * the decision waits until the worker has accepted the connection and then makes a conflicting change, so the node
+ * learns of the established connection only after that change.
  */
 public class WriteGateTest {
-    private static Worker worker(int place, WorkerState state) {
-        return new Worker(place + 1, 0, 0, 0, state, 0);
+    private static Worker worker(int index, WorkerState state) {
+        return new Worker(index + 1, 0, 0, 0, state, 0);
     }
 
-    /** Lists two workers as ready; gives their ports. */
-    private static List<HttpWorker> two(LiveCore live, StandInWorkers workers) throws Exception {
-        List<HttpWorker> ports = List.of(live.port("w1", workers.address(0)), live.port("w2", workers.address(1)));
-        live.on(() -> {
-            live.core.updateWorkers(
+    /** Lists two workers as ready; returns their ports. */
+    private static List<HttpWorker> listTwoWorkers(CoreFixture fixture, FakeServers workers) throws Exception {
+        List<HttpWorker> ports =
+                List.of(fixture.httpWorker("w1", workers.address(0)), fixture.httpWorker("w2", workers.address(1)));
+        fixture.runOnLoop(() -> {
+            fixture.core.updateWorkers(
                     ListKind.WHOLE,
                     List.of(worker(0, WorkerState.READY), worker(1, WorkerState.READY)),
-                    Map.of(1L, live.crossed(ports.get(0)), 2L, live.crossed(ports.get(1))));
+                    Map.of(1L, fixture.withHooks(ports.get(0)), 2L, fixture.withHooks(ports.get(1))));
             return null;
         });
         return ports;
     }
 
     @DataProvider
-    public Object[][] leaves() {
+    public Object[][] removals() {
         return new Object[][] {{"drains"}, {"is gone"}, {"is left out of a whole list"}, {"moves"}};
     }
 
-    /** Danger: the connection comes up after the word, and the job would be the first after the grace. */
-    @Test(dataProvider = "leaves")
-    public void aWorkerThatLeavesWhileItsConnectionComesUpGetsNoByte(String how) throws Exception {
-        try (LiveCore live = new LiveCore(100, true);
-                StandInWorkers workers = new StandInWorkers(3)) {
-            List<HttpWorker> ports = two(live, workers);
+    /**
+     * The connection is established after the report, and the job would be written after the grace period of a drain.
+     */
+    @Test(dataProvider = "removals")
+    public void workerRemovedWhileConnectingGetsNoByte(String how) throws Exception {
+        try (CoreFixture fixture = new CoreFixture(100, true);
+                FakeServers workers = new FakeServers(3)) {
+            List<HttpWorker> ports = listTwoWorkers(fixture, workers);
             CompletableFuture<String> answer = new CompletableFuture<>();
-            CompletableFuture<Accepted> crossed = live.cross(() -> {
-                Accepted up = workers.next();
+            CompletableFuture<AcceptedConnection> connected = fixture.runAfterNextStart(() -> {
+                AcceptedConnection connection = workers.nextConnection();
                 switch (how) {
-                    case "moves" -> ports.get(up.place()).moveTo(workers.address(2));
+                    case "moves" -> ports.get(connection.index()).moveTo(workers.address(2));
                     case "is left out of a whole list" ->
-                        live.core.updateWorkers(
-                                ListKind.WHOLE, List.of(worker(1 - up.place(), WorkerState.READY)), Map.of());
+                        fixture.core.updateWorkers(
+                                ListKind.WHOLE, List.of(worker(1 - connection.index(), WorkerState.READY)), Map.of());
                     default ->
-                        live.core.updateWorkers(
+                        fixture.core.updateWorkers(
                                 ListKind.CHANGES,
                                 List.of(worker(
-                                        up.place(), how.equals("drains") ? WorkerState.DRAINING : WorkerState.GONE)),
+                                        connection.index(),
+                                        how.equals("drains") ? WorkerState.DRAINING : WorkerState.GONE)),
                                 Map.of());
                 }
-                return up;
+                return connection;
             });
-            live.on(() -> live.take("a-1", answer));
-            Accepted first = crossed.get(5, TimeUnit.SECONDS);
-            assertEquals(first.head(), "");
-            Accepted second = workers.next();
-            assertEquals(second.place(), 1 - first.place());
-            assertTrue(second.head().contains("X-Txn: a-1\r\n"));
-            second.serve();
+            fixture.runOnLoop(() -> fixture.submit("a-1", answer));
+            AcceptedConnection first = connected.get(5, TimeUnit.SECONDS);
+            assertEquals(first.readHead(), "");
+            AcceptedConnection second = workers.nextConnection();
+            assertEquals(second.index(), 1 - first.index());
+            assertTrue(second.readHead().contains("X-Txn: a-1\r\n"));
+            second.respondDone();
             assertEquals(answer.get(5, TimeUnit.SECONDS), "served");
-            assertEquals(live.faults, List.of());
+            assertEquals(fixture.failures, List.of());
         }
     }
 
-    /** A drain ends nothing that runs. */
+    /** A drain does not end running jobs. */
     @Test
-    public void aJobThatRunsAtAWorkerThatDrainsIsLeftToEnd() throws Exception {
-        try (LiveCore live = new LiveCore(100, true);
-                StandInWorkers workers = new StandInWorkers(2)) {
-            two(live, workers);
+    public void jobRunningAtADrainingWorkerCompletes() throws Exception {
+        try (CoreFixture fixture = new CoreFixture(100, true);
+                FakeServers workers = new FakeServers(2)) {
+            listTwoWorkers(fixture, workers);
             CompletableFuture<String> answer = new CompletableFuture<>();
-            live.on(() -> live.take("a-1", answer));
-            Accepted at = workers.next();
-            assertTrue(at.head().contains("X-Txn: a-1\r\n"));
-            live.on(() -> {
-                live.core.updateWorkers(ListKind.CHANGES, List.of(worker(at.place(), WorkerState.DRAINING)), Map.of());
+            fixture.runOnLoop(() -> fixture.submit("a-1", answer));
+            AcceptedConnection connection = workers.nextConnection();
+            assertTrue(connection.readHead().contains("X-Txn: a-1\r\n"));
+            fixture.runOnLoop(() -> {
+                fixture.core.updateWorkers(
+                        ListKind.CHANGES, List.of(worker(connection.index(), WorkerState.DRAINING)), Map.of());
                 return null;
             });
-            at.serve();
+            connection.respondDone();
             assertEquals(answer.get(5, TimeUnit.SECONDS), "served");
         }
     }
 
-    /** Danger: the connection on which it ran rests afterwards, and leads to where the worker was. */
+    /** The connection on which the job ran becomes idle, but leads to the worker's old address. */
     @Test
-    public void aWorkerThatMovesWhileAJobRunsGetsTheNextAtItsNewAddress() throws Exception {
-        try (LiveCore live = new LiveCore(100, true);
-                StandInWorkers workers = new StandInWorkers(2)) {
-            HttpWorker port = live.port("w1", workers.address(0));
-            live.on(() -> {
-                live.core.updateWorkers(ListKind.WHOLE, List.of(worker(0, WorkerState.READY)), Map.of(1L, port));
+    public void workerThatMovesDuringAJobGetsTheNextAtItsNewAddress() throws Exception {
+        try (CoreFixture fixture = new CoreFixture(100, true);
+                FakeServers workers = new FakeServers(2)) {
+            HttpWorker worker = fixture.httpWorker("w1", workers.address(0));
+            fixture.runOnLoop(() -> {
+                fixture.core.updateWorkers(ListKind.WHOLE, List.of(worker(0, WorkerState.READY)), Map.of(1L, worker));
                 return null;
             });
             CompletableFuture<String> answer = new CompletableFuture<>();
-            live.on(() -> live.take("a-1", answer));
-            Accepted at = workers.next();
-            assertTrue(at.head().contains("X-Txn: a-1\r\n"));
-            live.on(() -> {
-                port.moveTo(workers.address(1));
+            fixture.runOnLoop(() -> fixture.submit("a-1", answer));
+            AcceptedConnection connection = workers.nextConnection();
+            assertTrue(connection.readHead().contains("X-Txn: a-1\r\n"));
+            fixture.runOnLoop(() -> {
+                worker.moveTo(workers.address(1));
                 return null;
             });
-            at.serve();
+            connection.respondDone();
             assertEquals(answer.get(5, TimeUnit.SECONDS), "served");
             CompletableFuture<String> next = new CompletableFuture<>();
-            live.on(() -> live.take("a-2", next));
-            Accepted moved = workers.next();
-            assertEquals(moved.place(), 1);
-            assertTrue(moved.head().contains("X-Txn: a-2\r\n"));
+            fixture.runOnLoop(() -> fixture.submit("a-2", next));
+            AcceptedConnection moved = workers.nextConnection();
+            assertEquals(moved.index(), 1);
+            assertTrue(moved.readHead().contains("X-Txn: a-2\r\n"));
         }
     }
 
@@ -135,114 +140,114 @@
         return new Object[][] {{true}, {false}};
     }
 
-    /** Danger: where attempts may not be called off, one that is not written yet may still be dropped. */
+    /** Even where attempts can't be cancelled, one that has not been written yet is dropped. */
     @Test(dataProvider = "settings")
-    public void aClientThatLeavesWhileTheConnectionComesUpHasItsJobSentToNobody(boolean mayCancel) throws Exception {
-        try (LiveCore live = new LiveCore(100, mayCancel);
-                StandInWorkers workers = new StandInWorkers(2)) {
-            two(live, workers);
+    public void jobOfClientThatLeavesWhileConnectingIsNotSent(boolean mayCancel) throws Exception {
+        try (CoreFixture fixture = new CoreFixture(100, mayCancel);
+                FakeServers workers = new FakeServers(2)) {
+            listTwoWorkers(fixture, workers);
             CompletableFuture<Long> handle = new CompletableFuture<>();
-            CompletableFuture<Accepted> crossed = live.cross(() -> {
-                Accepted up = workers.next();
-                live.core.withdraw(handle.get());
-                return up;
+            CompletableFuture<AcceptedConnection> connected = fixture.runAfterNextStart(() -> {
+                AcceptedConnection connection = workers.nextConnection();
+                fixture.core.withdraw(handle.get());
+                return connection;
             });
-            live.on(() -> handle.complete(live.take("a-1", new CompletableFuture<>())));
-            assertEquals(crossed.get(5, TimeUnit.SECONDS).head(), "");
-            assertNextIs(live, workers, "a-2");
+            fixture.runOnLoop(() -> handle.complete(fixture.submit("a-1", new CompletableFuture<>())));
+            assertEquals(connected.get(5, TimeUnit.SECONDS).readHead(), "");
+            assertNextJobIs(fixture, workers, "a-2");
         }
     }
 
-    /** Held with no worker in service, then left: the next list must not wake it. */
+    /** The job is held as no worker is in service, then withdrawn; the next list must not start it. */
     @Test(dataProvider = "settings")
-    public void aClientThatLeavesWhileItsJobIsHeldHasItSentToNobody(boolean mayCancel) throws Exception {
-        try (LiveCore live = new LiveCore(100, mayCancel);
-                StandInWorkers workers = new StandInWorkers(2)) {
-            live.on(() -> {
-                live.core.withdraw(live.take("a-1", new CompletableFuture<>()));
+    public void heldJobOfClientThatLeavesIsNotSent(boolean mayCancel) throws Exception {
+        try (CoreFixture fixture = new CoreFixture(100, mayCancel);
+                FakeServers workers = new FakeServers(2)) {
+            fixture.runOnLoop(() -> {
+                fixture.core.withdraw(fixture.submit("a-1", new CompletableFuture<>()));
                 return null;
             });
-            two(live, workers);
-            assertNextIs(live, workers, "a-2");
+            listTwoWorkers(fixture, workers);
+            assertNextJobIs(fixture, workers, "a-2");
         }
     }
 
     /**
-     * Danger: a repeat is decided on while its group still drops it, and its connection comes up later; the
-     * window counts from the first byte of the attempt that may have run.
+     * A retry is decided on while the worker group still deduplicates it, and its connection is established after the
+     * end of that window, which counts from the first byte of the attempt that may have run.
      */
     @Test
-    public void aKeyedRepeatWhoseConnectionComesUpAfterTheWindowIsNotSent() throws Exception {
+    public void keyedRetryConnectedAfterTheWindowIsNotSent() throws Exception {
         JobClass keyed = new JobClass(2_000_000, 2, 2_000_000, 1, 1, Effect.KEYED, Group.ALL, 1_000_000, -1);
-        try (LiveCore live = new LiveCore(100, true, keyed);
-                StandInWorkers workers = new StandInWorkers(2)) {
-            two(live, workers);
+        try (CoreFixture fixture = new CoreFixture(100, true, keyed);
+                FakeServers workers = new FakeServers(2)) {
+            listTwoWorkers(fixture, workers);
             CompletableFuture<String> answer = new CompletableFuture<>();
-            live.on(() -> live.take("a-1", answer));
-            Accepted first = workers.next();
-            assertTrue(first.head().contains("X-Txn: a-1\r\n"));
-            CompletableFuture<Accepted> crossed = live.cross(() -> {
-                Accepted up = workers.next();
-                live.ahead.addAndGet(1_050_000_000L);
-                return up;
+            fixture.runOnLoop(() -> fixture.submit("a-1", answer));
+            AcceptedConnection first = workers.nextConnection();
+            assertTrue(first.readHead().contains("X-Txn: a-1\r\n"));
+            CompletableFuture<AcceptedConnection> connected = fixture.runAfterNextStart(() -> {
+                AcceptedConnection connection = workers.nextConnection();
+                fixture.clockOffsetNanos.addAndGet(1_050_000_000L);
+                return connection;
             });
             first.reset();
-            assertEquals(crossed.get(5, TimeUnit.SECONDS).head(), "");
+            assertEquals(connected.get(5, TimeUnit.SECONDS).readHead(), "");
             assertEquals(answer.get(5, TimeUnit.SECONDS), "refused");
-            assertEquals(live.faults, List.of());
+            assertEquals(fixture.failures, List.of());
         }
     }
 
     /**
-     * Its request and its leave are both behind a busy moment of the node's. Danger: a connection to a worker
-     * that rests takes the job in the very event that reads it, before the one that tells of the leave.
+     * The request and the close are both queued while the loop is busy. With an idle connection to a worker, the job
+     * would be sent in the very event that processes the request, before the one that reports the close.
      */
     @Test
-    public void aClientThatLeavesWhileItsRequestIsQueuedHasItSentToNobody() throws Exception {
-        try (LiveCore live = new LiveCore(100, true);
-                StandInWorkers workers = new StandInWorkers(1)) {
-            InetSocketAddress front = live.listen();
-            live.on(() -> {
-                live.core.updateWorkers(
+    public void queuedRequestOfClientThatLeavesIsNotSent() throws Exception {
+        try (CoreFixture fixture = new CoreFixture(100, true);
+                FakeServers workers = new FakeServers(1)) {
+            InetSocketAddress frontend = fixture.listen();
+            fixture.runOnLoop(() -> {
+                fixture.core.updateWorkers(
                         ListKind.WHOLE,
                         List.of(worker(0, WorkerState.READY)),
-                        Map.of(1L, live.port("w1", workers.address(0))));
+                        Map.of(1L, fixture.httpWorker("w1", workers.address(0))));
                 return null;
             });
             CompletableFuture<String> answer = new CompletableFuture<>();
-            live.on(() -> live.take("a-0", answer));
-            Accepted at = workers.next();
-            assertTrue(at.head().contains("X-Txn: a-0\r\n"));
-            at.serve();
+            fixture.runOnLoop(() -> fixture.submit("a-0", answer));
+            AcceptedConnection connection = workers.nextConnection();
+            assertTrue(connection.readHead().contains("X-Txn: a-0\r\n"));
+            connection.respondDone();
             assertEquals(answer.get(5, TimeUnit.SECONDS), "served");
-            int before = live.transport.connectionCount();
-            live.on(() -> {
-                try (Socket client = new Socket(front.getAddress(), front.getPort())) {
-                    LiveCore.await(() -> live.transport.connectionCount() == before + 1);
-                    client.getOutputStream().write(LiveCore.job("a-1"));
+            int before = fixture.transport.connectionCount();
+            fixture.runOnLoop(() -> {
+                try (Socket client = new Socket(frontend.getAddress(), frontend.getPort())) {
+                    CoreFixture.await(() -> fixture.transport.connectionCount() == before + 1);
+                    client.getOutputStream().write(CoreFixture.request("a-1"));
                 }
-                LiveCore.await(() -> live.transport.connectionCount() == before);
+                CoreFixture.await(() -> fixture.transport.connectionCount() == before);
                 return null;
             });
             CompletableFuture<String> next = new CompletableFuture<>();
-            live.on(() -> live.take("a-2", next));
-            String head = at.head();
+            fixture.runOnLoop(() -> fixture.submit("a-2", next));
+            String head = connection.readHead();
             assertTrue(head.contains("X-Txn: a-2\r\n"), head);
-            at.serve();
+            connection.respondDone();
             assertEquals(next.get(5, TimeUnit.SECONDS), "served");
-            assertEquals(live.faults, List.of());
+            assertEquals(fixture.failures, List.of());
         }
     }
 
-    /** The next job is the next thing that any worker hears of, and the last. */
-    private static void assertNextIs(LiveCore live, StandInWorkers workers, String id) throws Exception {
+    /** Checks that this job is the next that any worker gets, and that no other follows. */
+    private static void assertNextJobIs(CoreFixture fixture, FakeServers workers, String id) throws Exception {
         CompletableFuture<String> answer = new CompletableFuture<>();
-        live.on(() -> live.take(id, answer));
-        List<Accepted> ups = new ArrayList<>(List.of(workers.next()));
-        assertTrue(ups.get(0).head().contains("X-Txn: " + id + "\r\n"));
-        ups.get(0).serve();
+        fixture.runOnLoop(() -> fixture.submit(id, answer));
+        List<AcceptedConnection> connections = new ArrayList<>(List.of(workers.nextConnection()));
+        assertTrue(connections.get(0).readHead().contains("X-Txn: " + id + "\r\n"));
+        connections.get(0).respondDone();
         assertEquals(answer.get(5, TimeUnit.SECONDS), "served");
-        assertTrue(workers.quiet());
-        assertEquals(live.faults, List.of());
+        assertTrue(workers.hasNoNewConnection());
+        assertEquals(fixture.failures, List.of());
     }
 }
--- a/src/test/java/gorserill/transport/PortOccupier.java
+++ b/src/test/java/gorserill/transport/PortOccupier.java
@@ -9,31 +9,31 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Takes ports of every kind that the system gives out: listeners', datagrams' and outgoing connections'. */
+/** Occupies ephemeral ports of each kind: of TCP listeners, UDP sockets and outgoing connections. */
 public final class PortOccupier implements Closeable {
-    private static final int OF_EACH_KIND = 800;
+    private static final int PORTS_PER_KIND = 800;
 
     private final List<Closeable> open = new ArrayList<>();
 
     public PortOccupier() throws IOException {
-        InetAddress here = InetAddress.getLoopbackAddress();
-        ServerSocket to = opened(new ServerSocket(0, OF_EACH_KIND, here));
-        for (int i = 0; i < OF_EACH_KIND; i++) {
-            opened(new ServerSocket(0, 1, here));
-            opened(new DatagramSocket(0, here));
-            opened(new Socket(here, to.getLocalPort()));
+        InetAddress loopback = InetAddress.getLoopbackAddress();
+        ServerSocket target = track(new ServerSocket(0, PORTS_PER_KIND, loopback));
+        for (int i = 0; i < PORTS_PER_KIND; i++) {
+            track(new ServerSocket(0, 1, loopback));
+            track(new DatagramSocket(0, loopback));
+            track(new Socket(loopback, target.getLocalPort()));
         }
     }
 
-    private <T extends Closeable> T opened(T one) {
-        open.add(one);
-        return one;
+    private <T extends Closeable> T track(T socket) {
+        open.add(socket);
+        return socket;
     }
 
     @Override
     public void close() throws IOException {
-        for (Closeable one : open) {
-            one.close();
+        for (Closeable socket : open) {
+            socket.close();
         }
     }
 }
--- a/src/test/java/gorserill/transport/ReservedPortTest.java
+++ b/src/test/java/gorserill/transport/ReservedPortTest.java
@@ -19,62 +19,62 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
 
-/** Ports that are kept for listeners yet to come, beside others who take whatever is free. */
+/** Ports reserved for later listeners, while other sockets occupy any free port. */
 public class ReservedPortTest {
-    private static final InetAddress HERE = InetAddress.getLoopbackAddress();
-    private static final int RESERVED = 200;
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+    private static final int PORT_COUNT = 200;
 
     private final List<Closeable> open = new ArrayList<>();
 
     @AfterMethod
     public void close() throws IOException {
-        for (Closeable one : open) {
-            one.close();
+        for (Closeable socket : open) {
+            socket.close();
         }
         open.clear();
     }
 
-    private <T extends Closeable> T opened(T one) {
-        open.add(one);
-        return one;
+    private <T extends Closeable> T track(T socket) {
+        open.add(socket);
+        return socket;
     }
 
     @Test
-    public void aFloodOfPortsThatAreTakenLeavesAllThatAreReservedToTheirListeners() throws IOException {
+    public void occupyingManyPortsLeavesReservedPortsToTheirListeners() throws IOException {
         List<ReservedPort> reserved = new ArrayList<>();
-        Set<Integer> numbers = new HashSet<>();
-        for (int i = 0; i < RESERVED; i++) {
-            reserved.add(opened(ReservedPort.reserve()));
-            numbers.add(reserved.get(i).port());
+        Set<Integer> ports = new HashSet<>();
+        for (int i = 0; i < PORT_COUNT; i++) {
+            reserved.add(track(ReservedPort.reserve()));
+            ports.add(reserved.get(i).port());
         }
-        assertEquals(numbers.size(), RESERVED, "each is reserved once");
-        opened(new PortOccupier());
+        assertEquals(ports.size(), PORT_COUNT, "each port is reserved once");
+        track(new PortOccupier());
         for (ReservedPort port : reserved) {
-            opened(new ServerSocket(port.port(), 1, HERE));
-            opened(new DatagramSocket(port.port(), HERE));
+            track(new ServerSocket(port.port(), 1, LOOPBACK));
+            track(new DatagramSocket(port.port(), LOOPBACK));
         }
     }
 
-    /** A node that ends leaves its port to the one after it, not to whoever comes first. */
+    /** After a listener is closed, the port stays reserved for the next one. */
     @Test
-    public void aPortStaysReservedBetweenTwoListeners() throws IOException {
-        ReservedPort port = opened(ReservedPort.reserve());
+    public void portStaysReservedBetweenTwoListeners() throws IOException {
+        ReservedPort port = track(ReservedPort.reserve());
         for (int i = 0; i < 3; i++) {
-            assertThrows(ConnectException.class, () -> new Socket(HERE, port.port()).close());
-            assertThrows(BindException.class, () -> alone(port.port()));
-            try (ServerSocket listener = new ServerSocket(port.port(), 1, HERE);
-                    Socket client = new Socket(HERE, port.port());
+            assertThrows(ConnectException.class, () -> new Socket(LOOPBACK, port.port()).close());
+            assertThrows(BindException.class, () -> bindExclusively(port.port()));
+            try (ServerSocket listener = new ServerSocket(port.port(), 1, LOOPBACK);
+                    Socket client = new Socket(LOOPBACK, port.port());
                     Socket accepted = listener.accept()) {
                 assertEquals(accepted.getPort(), client.getLocalPort());
             }
         }
     }
 
-    /** As another who reserves ports. */
-    private static void alone(int port) throws IOException {
+    /** Binds a port as another reservation of it would. */
+    private static void bindExclusively(int port) throws IOException {
         try (Socket socket = new Socket()) {
             socket.setReuseAddress(false);
-            socket.bind(new InetSocketAddress(HERE, port));
+            socket.bind(new InetSocketAddress(LOOPBACK, port));
         }
     }
 }
