--- a/src/main/java/gorserill/protocol/http/HttpProbe.java
+++ b/src/main/java/gorserill/protocol/http/HttpProbe.java
@@ -15,15 +15,16 @@
 import java.util.function.Consumer;
 
 /**
- * Asks one worker for its load, {@code GET /load}, one call at a time on a connection of its own, kept for
- * the next one. What is refused, late, cut off, too long or no report counts as nothing told.
+ * Queries the load of one worker with {@code GET /load}, one request at a time on a dedicated persistent connection.
+ * A refused connection, a timeout, a truncated or oversized response and an unreadable report all yield
+ * {@link Load#NONE}.
  */
 final class HttpProbe implements ChannelListener {
     private static final JsonFactory JSON = new JsonFactory();
-    /** A worker that waits longer tells of a past. */
-    private static final long PATIENCE = 1_000_000;
+    /** Time limit for a probe in microseconds; a later report would describe a load that is out of date. */
+    private static final long PROBE_TIMEOUT_MICROS = 1_000_000;
 
-    private static final int MAX_REPORT = 4 * 1024;
+    private static final int MAX_REPORT_BYTES = 4 * 1024;
 
     private final HttpWorker.Config config;
     private final String name;
@@ -32,28 +33,28 @@
     private Channel channel;
     private Deadline deadline;
     private HttpHead head;
-    private Consumer<Load> asked;
-    private boolean over;
+    private Consumer<Load> pending;
+    private boolean closed;
 
     HttpProbe(HttpWorker.Config config, String name) {
         this.config = config;
         this.name = name;
     }
 
-    /** Whether it can be asked: no call is open, and its connection was not lost. */
-    boolean free() {
-        return asked == null && !over;
+    /** Whether a probe can be sent: none is pending and the connection has not been lost. */
+    boolean isIdle() {
+        return pending == null && !closed;
     }
 
-    boolean over() {
-        return over;
+    boolean isClosed() {
+        return closed;
     }
 
-    /** @param answer is told once, {@link Load#NONE} where nothing was learned */
-    void ask(InetSocketAddress address, Consumer<Load> answer) {
-        asked = answer;
+    /** @param callback called exactly once, with {@link Load#NONE} if no load was obtained */
+    void query(InetSocketAddress address, Consumer<Load> callback) {
+        pending = callback;
         config.loop().cancel(deadline);
-        deadline = config.loop().at(config.loop().now() + PATIENCE, this::end);
+        deadline = config.loop().at(config.loop().now() + PROBE_TIMEOUT_MICROS, this::close);
         if (channel != null) {
             write();
         } else {
@@ -68,7 +69,7 @@
     @Override
     public void opened(Channel opened) {
         channel = opened;
-        if (over) {
+        if (closed) {
             channel.close();
         } else {
             write();
@@ -77,45 +78,45 @@
 
     @Override
     public void connectFailed(String why) {
-        end();
+        close();
     }
 
     @Override
     public void closed() {
-        end();
+        close();
     }
 
     @Override
     @SuppressWarnings("unchecked")
     public void received(Object messages) {
         for (Object message : (List<Object>) messages) {
-            if (over) {
+            if (closed) {
                 return;
-            } else if (message instanceof HttpHead answer && asked != null) {
-                head = answer;
+            } else if (message instanceof HttpHead response && pending != null) {
+                head = response;
                 body.reset();
-            } else if (message instanceof byte[] data && body.size() + data.length <= MAX_REPORT) {
+            } else if (message instanceof byte[] data && body.size() + data.length <= MAX_REPORT_BYTES) {
                 body.writeBytes(data);
-            } else if (message == HttpCodec.END_OF_RESPONSE && asked != null) {
-                answered();
+            } else if (message == HttpCodec.END_OF_RESPONSE && pending != null) {
+                onResponseEnd();
             } else if (message != PARTIAL_MESSAGE) {
-                end();
+                close();
             }
         }
     }
 
-    private void answered() {
+    private void onResponseEnd() {
         Load load = head.status() == 200 ? parseReport(body.toByteArray(), config.loadFields()) : Load.NONE;
         if (head.closes()) {
-            end(load);
+            close(load);
         } else {
             config.loop().cancel(deadline);
-            deadline = config.loop().at(config.loop().now() + config.idleTimeoutMicros(), this::end);
-            tell(load);
+            deadline = config.loop().at(config.loop().now() + config.idleTimeoutMicros(), this::close);
+            report(load);
         }
     }
 
-    /** A report that can't be read is none. */
+    /** Parses a load report; returns {@link Load#NONE} if it is malformed. */
     static Load parseReport(byte[] text, LoadFieldNames names) {
         try (JsonParser json = JSON.createParser(text)) {
             return json.nextToken() == JsonToken.START_OBJECT ? JobEvent.parseLoad(json, names) : Load.NONE;
@@ -124,28 +125,28 @@
         }
     }
 
-    void end() {
-        end(Load.NONE);
+    void close() {
+        close(Load.NONE);
     }
 
-    private void end(Load load) {
-        if (!over) {
-            over = true;
+    private void close(Load load) {
+        if (!closed) {
+            closed = true;
             config.loop().cancel(deadline);
             if (channel != null) {
                 channel.close();
             } else if (connecting != null) {
                 connecting.cancel();
             }
-            tell(load);
+            report(load);
         }
     }
 
-    private void tell(Load load) {
-        Consumer<Load> told = asked;
-        asked = null;
-        if (told != null) {
-            told.accept(load);
+    private void report(Load load) {
+        Consumer<Load> callback = pending;
+        pending = null;
+        if (callback != null) {
+            callback.accept(load);
         }
     }
 }
--- a/src/main/java/gorserill/protocol/http/HttpWorker.java
+++ b/src/main/java/gorserill/protocol/http/HttpWorker.java
@@ -24,18 +24,18 @@
 import java.util.logging.Logger;
 import org.glassfish.grizzly.filterchain.FilterChain;
 
-/** A worker of the platform's, and the pool of connections to it. */
+/** A worker reached over HTTP/1.1, with a pool of persistent connections to it. */
 public final class HttpWorker implements WorkerPort {
     private static final Logger LOG = Logger.getLogger(HttpWorker.class.getName());
-    private static final int MAX_LINE = 128 * 1024;
-    /** An answer ends so long after its last line. */
-    private static final long ENDING = 500_000;
+    private static final int MAX_LINE_BYTES = 128 * 1024;
+    /** Maximum time between the final event line of a response and the end of that response, in microseconds. */
+    private static final long RESPONSE_END_TIMEOUT_MICROS = 500_000;
 
     /**
-     * What all workers of a node have in common.
+     * Configuration and services shared by all workers of a node.
      *
-     * @param idleTimeoutMicros how long a connection may stand idle
-     * @param warnings of answers with a status that the protocol does not have
+     * @param idleTimeoutMicros time after which an idle connection is closed
+     * @param warnings log of unexpected statuses and protocol errors in workers' responses
      */
     public record Config(
             Loop loop,
@@ -72,8 +72,8 @@
     private final Config config;
     private final String name;
     private InetSocketAddress address;
-    private final Deque<Link> idle = new ArrayDeque<>();
-    private final Map<Attempt, Link> busy = new HashMap<>();
+    private final Deque<WorkerConnection> idleConnections = new ArrayDeque<>();
+    private final Map<Attempt, WorkerConnection> busyConnections = new HashMap<>();
     private HttpProbe probe;
 
     public HttpWorker(Config config, String name, InetSocketAddress address) {
@@ -87,146 +87,149 @@
         return name;
     }
 
-    /** The worker is to be found elsewhere from now on. */
-    public void moveTo(InetSocketAddress to) {
-        if (!to.equals(address)) {
-            address = to;
+    /** Changes the worker's address; connections to the old address are not used for new requests. */
+    public void moveTo(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
             outOfService();
         }
     }
 
-    /** Closes the connections that are not in use. */
+    /** Closes all idle connections, including the one for load probes. */
     public void closeIdle() {
         if (probe != null) {
-            probe.end();
+            probe.close();
         }
-        for (Link link : List.copyOf(idle)) {
-            link.shut();
+        for (WorkerConnection connection : List.copyOf(idleConnections)) {
+            connection.close();
         }
     }
 
     @Override
     public void outOfService() {
         closeIdle();
-        for (Link link : List.copyOf(busy.values())) {
-            link.giveBackUnwritten();
+        for (WorkerConnection connection : List.copyOf(busyConnections.values())) {
+            connection.returnIfUnwritten();
         }
     }
 
     @Override
-    public void start(Attempt attempt, JobSpec work, long expires) {
-        // Danger: one that the worker has closed, of which word is on its way, would cost the job an attempt
-        // and the worker its good name.
-        idle.removeIf(Link::gone);
-        // The connection used last is the one least likely to be near its idle limit.
-        Link link = idle.peekLast();
-        if (link != null && link.idleFor() > config.idleLimit().limitMicros()) {
-            // The others have been idle for longer.
+    public void start(Attempt attempt, JobSpec job, long expires) {
+        // Sending on a connection that the worker has already closed would use up one of the job's attempts
+        // and count as a failure of the worker.
+        idleConnections.removeIf(WorkerConnection::isGone);
+        // The most recently used connection is the least likely to be near its idle limit.
+        WorkerConnection connection = idleConnections.peekLast();
+        if (connection != null && connection.idleMicros() > config.idleLimit().limitMicros()) {
+            // All other connections have been idle for even longer.
             closeIdle();
-            link = null;
+            connection = null;
         }
-        if (link == null) {
-            link = new Link();
+        if (connection == null) {
+            connection = new WorkerConnection();
         }
-        idle.remove(link);
-        busy.put(attempt, link);
-        link.start(attempt, work, expires);
+        idleConnections.remove(connection);
+        busyConnections.put(attempt, connection);
+        connection.start(attempt, job, expires);
     }
 
     @Override
-    public void probe(Consumer<Load> answer) {
-        if (probe == null || probe.over()) {
+    public void probe(Consumer<Load> callback) {
+        if (probe == null || probe.isClosed()) {
             probe = new HttpProbe(config, name);
         }
-        if (probe.free()) {
-            probe.ask(address, answer);
+        if (probe.isIdle()) {
+            probe.query(address, callback);
         } else {
-            answer.accept(Load.NONE);
+            callback.accept(Load.NONE);
         }
     }
 
     @Override
     public boolean abort(Attempt attempt) {
-        Link link = busy.get(attempt);
-        return link == null || link.callOff();
+        WorkerConnection connection = busyConnections.get(attempt);
+        return connection == null || connection.abort();
     }
 
-    /** One connection, with one request at a time. */
-    private final class Link implements ChannelListener {
+    /** A connection that carries one request at a time. */
+    private final class WorkerConnection implements ChannelListener {
         private ByteArrayOutputStream line = new ByteArrayOutputStream();
         private Transport.PendingConnection connecting;
         private Channel channel;
-        /** Where it leads, from its opening on. */
-        private InetSocketAddress to;
+        /** The address that the connection was opened to; the worker's address may have changed since. */
+        private InetSocketAddress remoteAddress;
 
         private Channel.PendingWrite sending;
         private Deadline deadline;
         private Attempt attempt;
-        private JobSpec work;
+        private JobSpec job;
         private long expires;
-        /** Not a byte of the attempt at hand has gone out. */
+        /** No byte of the current attempt's request has been written. */
         private boolean unwritten;
 
         private HttpHead head;
-        private long idleSince;
-        /** How long it was idle before the request at hand; -1 for its first. */
-        private long idledFor = -1;
-
-        private long sentAt;
-        /** The attempt has its outcome. */
-        private boolean finished;
-        /** The answer has ended, too. */
-        private boolean ended;
-        /** The job before this one, on a connection that is used again. */
-        private String before;
-        /** A line of the answer at hand was this job's. */
-        private boolean named;
-        /** The answer at hand is one more to the job before. */
-        private boolean stray;
-        /** Something came after the last line. */
-        private boolean overrun;
-
-        private boolean shut;
-
-        boolean gone() {
+        private long idleSinceMicros;
+        /** Idle time before the current request, in microseconds; -1 for the first request of the connection. */
+        private long idleBeforeRequestMicros = -1;
+
+        private long sentAtMicros;
+        /** The outcome of the current attempt is known. */
+        private boolean outcomeKnown;
+        /** The response has been received completely. */
+        private boolean responseEnded;
+        /** Id of the previous job on a reused connection; null if there was none or it had the current job's id. */
+        private String previousId;
+        /** The current response has been matched to the current job by one of its event lines. */
+        private boolean jobMatched;
+        /** The current response is a duplicate response to the previous job and is discarded. */
+        private boolean duplicateResponse;
+        /** The response has non-blank data after its final event line. */
+        private boolean hasTrailingData;
+
+        private boolean closed;
+
+        boolean isGone() {
             return channel.isClosed();
         }
 
-        long idleFor() {
-            return config.loop().now() - idleSince;
+        long idleMicros() {
+            return config.loop().now() - idleSinceMicros;
         }
 
-        void start(Attempt next, JobSpec its, long until) {
-            before = work == null || work.id().equals(its.id()) ? null : work.id();
-            named = false;
-            attempt = next;
-            work = its;
-            expires = until;
+        void start(Attempt nextAttempt, JobSpec nextJob, long nextExpires) {
+            previousId = job == null || job.id().equals(nextJob.id()) ? null : job.id();
+            jobMatched = false;
+            attempt = nextAttempt;
+            job = nextJob;
+            expires = nextExpires;
             unwritten = true;
             head = null;
-            finished = false;
-            ended = false;
+            outcomeKnown = false;
+            responseEnded = false;
             line.reset();
             config.loop().cancel(deadline);
             if (channel != null) {
-                idledFor = idleFor();
+                idleBeforeRequestMicros = idleMicros();
                 write();
             } else {
                 attempt.opening();
-                to = address;
-                connecting = config.transport().connect(to, config.chain(), this);
+                remoteAddress = address;
+                connecting = config.transport().connect(remoteAddress, config.chain(), this);
                 deadline = config.loop().at(config.loop().now() + config.connectTimeoutMicros(), () -> {
                     connecting.cancel();
-                    connectFailed("not up within the time-out");
+                    connectFailed("connect timeout");
                 });
             }
         }
 
-        /** Danger: the worker may drain, or the client have left, and word of it may lie unread. */
+        /**
+         * Writes the request after all pending input has been read, which may report that the worker drains or
+         * that the client has disconnected.
+         */
         private void write() {
-            Attempt its = attempt;
+            Attempt current = attempt;
             channel.runAfterReads(() -> {
-                if (attempt == its && unwritten) {
+                if (attempt == current && unwritten) {
                     writeNow();
                 }
             });
@@ -234,31 +237,31 @@
 
         private void writeNow() {
             if (!attempt.tryBegin()) {
-                giveBack(idledFor >= 0);
+                returnJob(idleBeforeRequestMicros >= 0);
                 return;
             }
             unwritten = false;
-            sentAt = config.loop().now();
-            String target = work.route() != null
-                    ? work.route()
-                    : "/" + config.classNames().get(work.jobClass());
-            long left = Math.max(1, (expires - config.loop().now()) / 1_000);
+            sentAtMicros = config.loop().now();
+            String target = job.route() != null
+                    ? job.route()
+                    : "/" + config.classNames().get(job.jobClass());
+            long remainingMillis = Math.max(1, (expires - config.loop().now()) / 1_000);
             sending = channel.write(
                     HttpMessageBuilder.request("POST", target, name)
-                            .header("X-Txn", work.id())
-                            .header("X-Lane", config.classNames().get(work.jobClass()))
-                            .header("X-Remaining-Ms", left)
-                            .header("Idempotency-Key", work.idempotencyKey())
-                            .header("X-Fence", work.fencingToken())
-                            .header("Content-Type", work.contentType())
-                            .bytes(work.body()),
+                            .header("X-Txn", job.id())
+                            .header("X-Lane", config.classNames().get(job.jobClass()))
+                            .header("X-Remaining-Ms", remainingMillis)
+                            .header("Idempotency-Key", job.idempotencyKey())
+                            .header("X-Fence", job.fencingToken())
+                            .header("Content-Type", job.contentType())
+                            .bytes(job.body()),
                     attempt::written);
         }
 
         @Override
         public void opened(Channel opened) {
             channel = opened;
-            if (shut) {
+            if (closed) {
                 channel.close();
                 return;
             }
@@ -268,88 +271,90 @@
 
         @Override
         public void connectFailed(String why) {
-            neverUp(Outcome.CONNECT_FAILED, "no connection: " + why);
+            failUnsent(Outcome.CONNECT_FAILED, "no connection: " + why);
         }
 
         /**
-         * Danger: the node's own want of descriptors says nothing of the worker. Told as a failed connection
-         * it would bar the worker, doubling with each one in a row, and keep it barred after room came back.
+         * Reports that the node has no file descriptor left. This does not count as a connection failure of the
+         * worker: the worker would be excluded for a time that doubles with each consecutive failure, and would stay
+         * excluded after descriptors became available again.
          */
         @Override
         public void noDescriptor(String why) {
-            neverUp(Outcome.NOT_SENT, "not sent: " + why);
+            failUnsent(Outcome.NOT_SENT, "not sent: " + why);
         }
 
-        private void neverUp(Outcome outcome, String why) {
-            if (!shut) {
+        private void failUnsent(Outcome outcome, String why) {
+            if (!closed) {
                 LOG.log(Level.FINE, "worker {0}: {1}", new Object[] {name, why});
-                shut();
-                finish(outcome, null, Load.NONE);
+                close();
+                complete(outcome, null, Load.NONE);
             }
         }
 
         @Override
         public void closed() {
-            if (!shut) {
-                shut();
-                if (attempt != null && !unwritten && head == null && idledFor >= 0) {
-                    config.idleLimit().onReset(idledFor, config.loop().now() - sentAt);
+            if (!closed) {
+                close();
+                if (attempt != null && !unwritten && head == null && idleBeforeRequestMicros >= 0) {
+                    config.idleLimit()
+                            .onReset(idleBeforeRequestMicros, config.loop().now() - sentAtMicros);
                 }
-                // Before the request's last byte was written the job can't have run; after it, it may have.
-                finish(outcomeOfClose(), null, Load.NONE);
+                // The job cannot have run before the last byte of its request was written; after that it may have.
+                complete(outcomeOfClose(), null, Load.NONE);
             }
         }
 
         private Outcome outcomeOfClose() {
             if (unwritten) {
-                // One that rested and ended says nothing of the worker.
-                return idledFor >= 0 ? Outcome.NOT_SENT : Outcome.CONNECT_FAILED;
+                // A reused connection that closes before the write says nothing about the worker's health.
+                return idleBeforeRequestMicros >= 0 ? Outcome.NOT_SENT : Outcome.CONNECT_FAILED;
             }
             return sending.isWritten() ? Outcome.RESET : Outcome.CONNECT_FAILED;
         }
 
         /** @return whether the request provably never reached the worker */
-        boolean callOff() {
-            busy.remove(attempt);
+        boolean abort() {
+            busyConnections.remove(attempt);
             attempt = null;
-            if (unwritten && idledFor >= 0) {
-                rest();
+            if (unwritten && idleBeforeRequestMicros >= 0) {
+                returnToPool();
             } else {
-                shut();
+                close();
             }
             return unwritten;
         }
 
-        /** The worker is to get nothing new. */
-        void giveBackUnwritten() {
+        /** Returns the current job to the core unless part of its request was written. */
+        void returnIfUnwritten() {
             if (unwritten) {
-                giveBack(false);
+                returnJob(false);
             }
         }
 
         /**
-         * Not a byte of the job went out: it provably never ran here.
+         * Returns the current job to the core. No byte of its request was written, so the worker cannot have run it.
          *
-         * @param keep whether the connection may rest
+         * @param keep whether the connection returns to the pool
          */
-        private void giveBack(boolean keep) {
+        private void returnJob(boolean keep) {
             LOG.log(Level.FINE, "worker {0}: request {1} given back, unwritten", new Object[] {name, attempt.requestId()
             });
-            Attempt unwritten = attempt;
-            busy.remove(unwritten);
+            Attempt returned = attempt;
+            busyConnections.remove(returned);
             attempt = null;
             if (keep) {
-                rest();
+                returnToPool();
             } else {
-                shut();
+                close();
             }
-            // An event of its own: the core may be in the middle of a call.
-            config.loop().execute(() -> unwritten.ended(Outcome.NOT_SENT, null, Load.NONE));
+            // Posted as a separate event because the core may be in the middle of a call.
+            config.loop().execute(() -> returned.ended(Outcome.NOT_SENT, null, Load.NONE));
         }
 
-        void shut() {
-            shut = true;
-            idle.remove(this);
+        void close() {
+            closed = true;
+            idleConnections.remove(this);
             config.loop().cancel(deadline);
             if (channel != null) {
                 channel.close();
@@ -358,21 +363,21 @@
             }
         }
 
-        private void finish(Outcome outcome, byte[] result, Load load) {
-            finish(ended -> ended.ended(outcome, result, load));
+        private void complete(Outcome outcome, byte[] result, Load load) {
+            complete(completed -> completed.ended(outcome, result, load));
         }
 
-        private void finish(Consumer<Attempt> tell) {
-            finished = true;
-            if (!shut) {
-                // The answer's end comes at once, or the connection is of no more use.
-                deadline = config.loop().at(config.loop().now() + ENDING, this::shut);
+        private void complete(Consumer<Attempt> report) {
+            outcomeKnown = true;
+            if (!closed) {
+                // The connection can be reused only if the response ends promptly after its final event line.
+                deadline = config.loop().at(config.loop().now() + RESPONSE_END_TIMEOUT_MICROS, this::close);
             }
             if (attempt != null) {
-                Attempt ended = attempt;
+                Attempt completed = attempt;
                 attempt = null;
-                busy.remove(ended);
-                tell.accept(ended);
+                busyConnections.remove(completed);
+                report.accept(completed);
             }
         }
 
@@ -380,143 +385,146 @@
         @SuppressWarnings("unchecked")
         public void received(Object messages) {
             for (Object message : (List<Object>) messages) {
-                if (shut) {
+                if (closed) {
                     return;
                 } else if (unwritten && attempt != null) {
-                    // Danger: taken for its answer, it would end a job that never went out.
-                    giveBack(false);
+                    // Treating this input as the response would complete a job whose request was never sent.
+                    returnJob(false);
                 } else if (message == PARTIAL_MESSAGE) {
-                    if (finished && ended) {
-                        broken("bytes that nobody asked for");
+                    if (outcomeKnown && responseEnded) {
+                        closeOnError("data on an idle connection");
                     }
-                } else if (message instanceof HttpHead answer) {
-                    head(answer);
+                } else if (message instanceof HttpHead response) {
+                    onHead(response);
                 } else if (message instanceof byte[] data) {
-                    data(data);
+                    onData(data);
                 } else if (message == HttpCodec.END_OF_RESPONSE) {
-                    end();
+                    onResponseEnd();
                 } else {
-                    broken(((HttpException) message).getMessage());
+                    closeOnError(((HttpException) message).getMessage());
                 }
             }
         }
 
-        private void head(HttpHead answer) {
-            head = answer;
-            if (finished) {
-                broken("an answer to no request");
-            } else if (answer.status() >= 400 && answer.status() < 500) {
+        private void onHead(HttpHead response) {
+            head = response;
+            if (outcomeKnown) {
+                closeOnError("response without a request");
+            } else if (response.status() >= 400 && response.status() < 500) {
                 config.warnings()
-                        .add(Integer.toString(answer.status()), "worker " + name + ": request " + attempt.requestId());
-                finish(Attempt::invalidJob);
-            } else if (answer.status() != 200) {
-                boolean away = (answer.status() == 503 || answer.status() == 504)
-                        && "1".equals(answer.header("x-turned-away"));
-                if (!away && answer.status() != 500) {
+                        .add(
+                                Integer.toString(response.status()),
+                                "worker " + name + ": request " + attempt.requestId());
+                complete(Attempt::invalidJob);
+            } else if (response.status() != 200) {
+                boolean turnedAway = (response.status() == 503 || response.status() == 504)
+                        && "1".equals(response.header("x-turned-away"));
+                if (!turnedAway && response.status() != 500) {
                     config.warnings()
                             .add(
-                                    Integer.toString(answer.status()),
+                                    Integer.toString(response.status()),
                                     "worker " + name + ": request " + attempt.requestId());
                 }
-                finish(
-                        away ? Outcome.REJECTED : Outcome.ERROR,
+                complete(
+                        turnedAway ? Outcome.REJECTED : Outcome.ERROR,
                         null,
-                        JobEvent.parseLoad(answer.header("x-pressure"), config.loadFields()));
+                        JobEvent.parseLoad(response.header("x-pressure"), config.loadFields()));
             }
         }
 
-        private void data(byte[] data) {
+        private void onData(byte[] data) {
             for (byte b : data) {
-                if (stray) {
-                    // Skipped, however long it is: the job's own time ends it.
-                } else if (finished || shut) {
-                    // What follows the last line is of no use; the connection goes once it ends, or at once.
-                    overrun |= head.status() == 200 && (b < 0 || b > ' ');
+                if (duplicateResponse) {
+                    // Skipped whatever its length; the deadline of the current job limits it.
+                } else if (outcomeKnown || closed) {
+                    // Data after the final event line is ignored if blank; anything else closes the connection.
+                    hasTrailingData |= head.status() == 200 && (b < 0 || b > ' ');
                 } else if (b != '\n') {
                     line.write(b);
                 } else if (line.size() > 0) {
-                    event(line.toByteArray());
+                    onLine(line.toByteArray());
                     line.reset();
                 }
             }
-            if (line.size() > MAX_LINE) {
-                broken("a line of more than " + MAX_LINE + " bytes");
-            } else if (overrun && !shut) {
-                broken("more after the last line");
+            if (line.size() > MAX_LINE_BYTES) {
+                closeOnError("event line longer than " + MAX_LINE_BYTES + " bytes");
+            } else if (hasTrailingData && !closed) {
+                closeOnError("data after the final event line");
             }
         }
 
-        private void event(byte[] text) {
+        private void onLine(byte[] text) {
             JobEvent event;
             try {
                 event = JobEvent.parse(text, config.loadFields());
             } catch (IOException e) {
-                broken("an unreadable line: " + e.getMessage());
+                closeOnError("malformed event line: " + e.getMessage());
                 return;
             }
-            if (!named && event.id() != null && event.id().equals(before)) {
-                // Danger: ended by it, a job that may not run twice would be lost to another's second answer.
-                config.warnings().add("a second answer", "worker " + name + ": to request " + before);
-                stray = true;
+            if (!jobMatched && event.id() != null && event.id().equals(previousId)) {
+                // Applied to the current job, a duplicate response to the previous one would complete it wrongly, and a
+                // job that must not run twice would be lost.
+                config.warnings().add("a second answer", "worker " + name + ": to request " + previousId);
+                duplicateResponse = true;
                 return;
             }
-            // Danger: a line about another request would serve this one with what was not made for it.
+            // An event line for another request would complete this one with a result that is not its own.
             if (event.id() != null && !event.id().equals(attempt.requestId())) {
-                broken("a line for request " + event.id() + " in the answer to " + attempt.requestId());
+                closeOnError("event line for request " + event.id() + " in the response to " + attempt.requestId());
                 return;
             }
-            named = true;
+            jobMatched = true;
             Load load = event.load() != null
                     ? event.load()
                     : JobEvent.parseLoad(head.header("x-pressure"), config.loadFields());
             switch (event.state()) {
                 case "started" -> attempt.started();
-                case "done" -> finish(Outcome.SERVED, event.result(), load);
-                case "failed" -> finish(Outcome.ERROR, null, load);
-                case "returned" -> finish(Outcome.REJECTED, null, load);
-                case "lost" -> finish(Outcome.RESET, null, load);
+                case "done" -> complete(Outcome.SERVED, event.result(), load);
+                case "failed" -> complete(Outcome.ERROR, null, load);
+                case "returned" -> complete(Outcome.REJECTED, null, load);
+                case "lost" -> complete(Outcome.RESET, null, load);
                 default -> {}
             }
         }
 
-        private void end() {
-            if (line.size() > 0 && !finished && !stray) {
-                event(line.toByteArray());
+        private void onResponseEnd() {
+            if (line.size() > 0 && !outcomeKnown && !duplicateResponse) {
+                onLine(line.toByteArray());
             }
-            if (stray) {
-                // One is enough: who sends more of them is not listened to.
-                before = null;
-                stray = false;
+            if (duplicateResponse) {
+                // Only one duplicate is tolerated; a further one closes the connection as an unmatched response.
+                previousId = null;
+                duplicateResponse = false;
                 head = null;
                 line.reset();
-            } else if (!finished) {
-                // The answer ended before its last line.
-                shut();
-                finish(Outcome.RESET, null, Load.NONE);
-            } else if (shut || head.closes() || head.status() != 200 || !to.equals(address)) {
-                // Danger: the worker may have moved while the job ran; the next one would go to its old
-                // address. And an answer that names no job could come again, and be taken for the next one's:
-                // 'turned away' would have what runs run twice.
-                shut();
+            } else if (!outcomeKnown) {
+                // The response ended before its final event line.
+                close();
+                complete(Outcome.RESET, null, Load.NONE);
+            } else if (closed || head.closes() || head.status() != 200 || !remoteAddress.equals(address)) {
+                // The worker's address may have changed while the job ran, and the next request must not go to the
+                // old one. A response other than 200 carries no job id: a duplicate of it would be taken for the
+                // response to the next request, and a duplicated "turned away" would make a running job run twice.
+                close();
             } else {
-                rest();
+                returnToPool();
             }
         }
 
-        private void rest() {
-            finished = true;
-            ended = true;
-            idleSince = config.loop().now();
+        private void returnToPool() {
+            outcomeKnown = true;
+            responseEnded = true;
+            idleSinceMicros = config.loop().now();
             line = new ByteArrayOutputStream();
-            idle.add(this);
+            idleConnections.add(this);
             config.loop().cancel(deadline);
-            deadline = config.loop().at(idleSince + config.idleTimeoutMicros(), this::shut);
+            deadline = config.loop().at(idleSinceMicros + config.idleTimeoutMicros(), this::close);
         }
 
-        private void broken(String why) {
+        private void closeOnError(String why) {
             config.warnings().add("connection closed", "worker " + name + ": " + why);
-            shut();
-            finish(Outcome.RESET, null, Load.NONE);
+            close();
+            complete(Outcome.RESET, null, Load.NONE);
         }
     }
 }
