--- a/src/main/java/gorserill/protocol/http/HttpFrontend.java
+++ b/src/main/java/gorserill/protocol/http/HttpFrontend.java
@@ -31,39 +31,39 @@
 import java.util.Set;
 import java.util.logging.Logger;
 
-/** The platform's front: clients' requests over HTTP become the core's, and its answers HTTP's. */
+/** Accepts clients' requests over HTTP/1.1, submits them to the core and writes its results as HTTP responses. */
 public final class HttpFrontend implements ClientFrontend {
     private static final Logger LOG = Logger.getLogger(HttpFrontend.class.getName());
-    private static final byte[] NOTHING = {};
-    private static final int MAX_WAITING = 16;
-    private static final int MAX_ID = 128;
-    /** Bytes of a body. */
+    private static final byte[] EMPTY_BODY = {};
+    private static final int MAX_PIPELINED_REQUESTS = 16;
+    private static final int MAX_ID_LENGTH = 128;
+    /** Maximum size of a request body. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
-    /** A connection may stand idle between requests for so long. */
-    private static final long IDLE = 60_000_000;
-    /** The first request must be whole so long after connecting, any other so long after its first byte. */
-    private static final long WHOLE_REQUEST = 2_300_000;
-    /** So long a connection stays open for its client to read why it was turned away. */
-    private static final long LINGER = 1_000_000;
-    /** While nothing is taken, whoever connects must ask, or end what was begun, within so long. */
-    private static final long BRIEF = 1_000_000;
+    /** Maximum idle time of a connection between requests. */
+    private static final long IDLE_TIMEOUT_MICROS = 60_000_000;
+    /** Time limit for a complete request: the first one from the connect on, any later one from its first byte on. */
+    private static final long REQUEST_TIMEOUT_MICROS = 2_300_000;
+    /** Time that a connection stays open after its last response, so that the client can read it. */
+    private static final long LINGER_MICROS = 1_000_000;
+    /** Time limit for a complete request while the node accepts no new jobs. */
+    private static final long DRAINING_REQUEST_TIMEOUT_MICROS = 1_000_000;
 
     private final Loop loop;
     private final Core core;
     private final Map<String, JobClassInfo> classes;
     private final Tenants tenants;
     private final ContractGate gate;
-    private final MemoryBudget room;
-    private final ThrottledWarnings complaints;
-    private final Map<Integer, ClientWaitTracker> patience = new HashMap<>();
-    private final Set<Client> clients = new HashSet<>();
+    private final MemoryBudget bodyBudget;
+    private final ThrottledWarnings warnings;
+    private final Map<Integer, ClientWaitTracker> waitTrackers = new HashMap<>();
+    private final Set<ClientConnection> clients = new HashSet<>();
     private boolean ready;
     private IntakeMode intake = IntakeMode.OPEN;
 
     /**
-     * @param tenants what {@code X-Org} can name
-     * @param gate which holds requests against a contract, if there is one
-     * @param room in which the codec keeps bodies; freed here when a request is over
+     * @param tenants the tenants that {@code X-Org} can name
+     * @param gate checks requests against the contract, if there is one
+     * @param bodyBudget memory budget for bodies; the codec reserves memory, and this class frees it after each request
      */
     public HttpFrontend(
             Loop loop,
@@ -71,42 +71,42 @@
             Map<String, JobClassInfo> classes,
             Tenants tenants,
             ContractGate gate,
-            MemoryBudget room) {
+            MemoryBudget bodyBudget) {
         this.loop = loop;
         this.core = core;
         this.classes = classes;
         this.tenants = tenants;
         this.gate = gate;
-        this.room = room;
-        complaints = new ThrottledWarnings(loop, LOG, "clients turned away");
+        this.bodyBudget = bodyBudget;
+        warnings = new ThrottledWarnings(loop, LOG, "clients turned away");
     }
 
-    /** A peer for a connection just accepted. */
+    /** Creates the handler of a newly accepted connection. */
     public ChannelListener accept() {
-        return new Client();
+        return new ClientConnection();
     }
 
-    /** Whether {@code /healthz} says 200. */
+    /** Sets whether {@code /healthz} returns 200 (otherwise 503). */
     @Override
     public void advertiseReady(boolean clients) {
         ready = clients;
     }
 
     @Override
-    public void setIntakeMode(IntakeMode now) {
-        intake = now;
+    public void setIntakeMode(IntakeMode newMode) {
+        intake = newMode;
     }
 
     @Override
     public void closeIdle() {
-        for (Client client : List.copyOf(clients)) {
+        for (ClientConnection client : List.copyOf(clients)) {
             client.closeIdle();
         }
     }
 
     @Override
     public void announceShutdown() {
-        // Nobody works for the node at this front.
+        // No workers connect over this protocol.
     }
 
     @Override
@@ -114,32 +114,35 @@
         return clients.isEmpty();
     }
 
-    private final class Client implements ChannelListener, ResponseHandler {
-        private final Deque<HttpRequest> waiting = new ArrayDeque<>();
+    private final class ClientConnection implements ChannelListener, ResponseHandler {
+        private final Deque<HttpRequest> pendingRequests = new ArrayDeque<>();
         private Channel channel;
         private HttpRequest current;
         private long handle;
         private Deadline deadline;
-        /** Part of a request has come. */
-        private boolean begun;
-        /** It brought a lawful job. */
-        private boolean proven;
-        /** Its last answer is given. */
-        private boolean ending;
+        /** Part of the next request has been received. */
+        private boolean requestStarted;
+        /** The connection has submitted at least one valid job. */
+        private boolean hasSentValidJob;
+        /** The final response has been written, or the connection has ended. */
+        private boolean closing;
 
         @Override
         public void opened(Channel opened) {
             channel = opened;
             clients.add(this);
-            deadline = loop.at(loop.now() + (intake == IntakeMode.CLOSED ? BRIEF : WHOLE_REQUEST), this::late);
+            deadline = loop.at(
+                    loop.now()
+                            + (intake == IntakeMode.CLOSED ? DRAINING_REQUEST_TIMEOUT_MICROS : REQUEST_TIMEOUT_MICROS),
+                    this::onTimeout);
         }
 
-        /** Danger: what was begun has come, so its client is owed a word. */
+        /** Closes an idle connection. A partly received request gets a short time to complete before it gets a 408. */
         private void closeIdle() {
-            if (current == null && !ending && begun) {
+            if (current == null && !closing && requestStarted) {
                 loop.cancel(deadline);
-                deadline = loop.at(loop.now() + BRIEF, this::late);
-            } else if (current == null && !ending && waiting.isEmpty()) {
+                deadline = loop.at(loop.now() + DRAINING_REQUEST_TIMEOUT_MICROS, this::onTimeout);
+            } else if (current == null && !closing && pendingRequests.isEmpty()) {
                 channel.closeIfIdle();
             }
         }
@@ -148,34 +151,43 @@
         @SuppressWarnings("unchecked")
         public void received(Object messages) {
             for (Object message : (List<Object>) messages) {
-                if (ending) {
-                    room.release(message instanceof HttpRequest late ? late.body().length : 0);
+                if (closing) {
+                    bodyBudget.release(message instanceof HttpRequest discarded ? discarded.body().length : 0);
                 } else if (message == PARTIAL_MESSAGE) {
-                    begun();
-                } else if (message instanceof HttpException broken) {
-                    cutOff(broken.status(), broken.getMessage());
-                } else if (waiting.size() >= MAX_WAITING) {
-                    room.release(((HttpRequest) message).body().length);
-                    cutOff(400, "more than " + MAX_WAITING + " requests without waiting for their answers");
+                    onRequestStarted();
+                } else if (message instanceof HttpException error) {
+                    rejectMalformed(error.status(), error.getMessage());
+                } else if (pendingRequests.size() >= MAX_PIPELINED_REQUESTS) {
+                    bodyBudget.release(((HttpRequest) message).body().length);
+                    rejectMalformed(
+                            400, "more than " + MAX_PIPELINED_REQUESTS + " requests without waiting for their answers");
                 } else {
-                    begun = false;
-                    waiting.add((HttpRequest) message);
+                    requestStarted = false;
+                    pendingRequests.add((HttpRequest) message);
                 }
             }
-            next();
+            processNext();
         }
 
-        private void begun() {
-            if (!begun && (proven || intake != IntakeMode.OPEN) && current == null && waiting.isEmpty()) {
+        private void onRequestStarted() {
+            if (!requestStarted
+                    && (hasSentValidJob || intake != IntakeMode.OPEN)
+                    && current == null
+                    && pendingRequests.isEmpty()) {
                 loop.cancel(deadline);
-                deadline = loop.at(loop.now() + (intake == IntakeMode.OPEN ? WHOLE_REQUEST : BRIEF), this::late);
+                deadline = loop.at(
+                        loop.now()
+                                + (intake == IntakeMode.OPEN
+                                        ? REQUEST_TIMEOUT_MICROS
+                                        : DRAINING_REQUEST_TIMEOUT_MICROS),
+                        this::onTimeout);
             }
-            begun = true;
+            requestStarted = true;
         }
 
-        /** No whole request came in time, or no other one: only what was begun is owed an answer. */
-        private void late() {
-            if (begun || !proven) {
+        /** Handles a request timeout or an idle timeout; an idle connection is closed without a response. */
+        private void onTimeout() {
+            if (requestStarted || !hasSentValidJob) {
                 reject(408, "no whole request in time");
             } else {
                 channel.closeIfIdle();
@@ -183,10 +195,10 @@
         }
 
         /**
-         * Nothing more can be read of what this client sends. Danger: it hears so at once, also in place of
-         * the answer to a request that still runs: only one that breaks the protocol can have one open.
+         * Rejects a client that violates the protocol. The error is sent at once and replaces the response to a request
+         * that still runs, because nothing that follows on the connection can be parsed.
          */
-        private void cutOff(int status, String why) {
+        private void rejectMalformed(int status, String why) {
             if (current != null) {
                 core.withdraw(handle);
             }
@@ -197,28 +209,28 @@
         public void closed() {
             clients.remove(this);
             loop.cancel(deadline);
-            if (current != null && !ending) {
+            if (current != null && !closing) {
                 core.withdraw(handle);
             }
-            ending = true;
-            forgetAll();
+            closing = true;
+            releaseAll();
         }
 
-        private void forgetAll() {
-            forgetCurrent();
-            waiting.forEach(request -> room.release(request.body().length));
-            waiting.clear();
+        private void releaseAll() {
+            releaseCurrent();
+            pendingRequests.forEach(request -> bodyBudget.release(request.body().length));
+            pendingRequests.clear();
         }
 
-        private void forgetCurrent() {
-            room.release(current == null ? 0 : current.body().length);
+        private void releaseCurrent() {
+            bodyBudget.release(current == null ? 0 : current.body().length);
             current = null;
         }
 
-        private void next() {
-            while (current == null && !waiting.isEmpty() && !ending) {
+        private void processNext() {
+            while (current == null && !pendingRequests.isEmpty() && !closing) {
                 loop.cancel(deadline);
-                current = waiting.remove();
+                current = pendingRequests.remove();
                 dispatch(current);
             }
         }
@@ -227,9 +239,9 @@
             HttpHead head = request.head();
             String path = head.targetOrStatus().split("\\?", 2)[0];
             if (path.equals("/healthz") && head.methodOrVersion().equals("GET")) {
-                respond(HttpMessageBuilder.response(ready ? 200 : 503), NOTHING);
+                respond(HttpMessageBuilder.response(ready ? 200 : 503), EMPTY_BODY);
             } else if (gate.hasContract()) {
-                byContract(request);
+                dispatchByContract(request);
             } else if (!head.methodOrVersion().equals("POST")) {
                 reject(
                         head.methodOrVersion().equals("GET") ? 404 : 405,
@@ -244,15 +256,15 @@
             }
         }
 
-        private void byContract(HttpRequest request) {
+        private void dispatchByContract(HttpRequest request) {
             HttpCall call = HttpCall.of(request);
             Admission admission = gate.admit(
                     "1".equals(call.header("x-resent")), contract -> Door.decide(contract, call, MAX_BODY_BYTES));
             Problem problem = admission.verdict().problem();
             if (problem != null) {
-                turnAway(problem);
+                rejectByContract(problem);
             } else if (!admission.verdict().operation().submits()) {
-                turnAway(Problem.unbound(call.method() + " " + call.path()));
+                rejectByContract(Problem.unbound(call.method() + " " + call.path()));
             } else {
                 submit(
                         request,
@@ -262,9 +274,9 @@
             }
         }
 
-        /** What its contract does not let in is told so, and may go on: it speaks HTTP well enough. */
-        private void turnAway(Problem problem) {
-            complaints.add(
+        /** Rejects a request that violates the contract; the connection stays open, as the message is valid HTTP. */
+        private void rejectByContract(Problem problem) {
+            warnings.add(
                     Integer.toString(problem.status()), "connection " + channel.tableIndex() + ": " + problem.line());
             respond(
                     HttpMessageBuilder.response(problem.status())
@@ -273,99 +285,101 @@
                     problem.json());
         }
 
-        /** @param admission by the contract; null where there is none */
+        /** @param admission the contract's decision; null if there is no contract */
         private void submit(HttpRequest request, String path, String jobClass, Admission admission) {
             HttpHead head = request.head();
-            JobClassInfo terms = classes.get(jobClass);
+            JobClassInfo classInfo = classes.get(jobClass);
             String lane = head.header("x-lane");
             String id = head.header("x-txn");
-            String learned = admission == null ? null : admission.verdict().key();
-            String effectKey = learned == null ? head.header("idempotency-key") : learned;
-            if (terms == null) {
+            String contractKey = admission == null ? null : admission.verdict().key();
+            String idempotencyKey = contractKey == null ? head.header("idempotency-key") : contractKey;
+            if (classInfo == null) {
                 reject(404, "unknown class " + jobClass);
             } else if (lane != null && !lane.equals(jobClass)) {
-                // Danger: a worker takes one of the two for the class, the module the other.
+                // The worker and the dispatcher would each take a different one of the two for the class.
                 reject(400, "X-Lane says " + lane + ", but " + path + " is for " + jobClass);
-            } else if (id == null || id.isEmpty() || id.length() > MAX_ID) {
+            } else if (id == null || id.isEmpty() || id.length() > MAX_ID_LENGTH) {
                 reject(400, "X-Txn is missing or too long");
             } else if (core.isOpen(id)) {
                 reject(409, "X-Txn is that of an open request");
-            } else if (terms.keyed() && (effectKey == null || effectKey.isEmpty())) {
+            } else if (classInfo.keyed() && (idempotencyKey == null || idempotencyKey.isEmpty())) {
                 reject(400, "a job of class " + jobClass + " needs Idempotency-Key");
             } else if (intake == IntakeMode.CLOSED) {
-                refused(core.countTurnedAway(terms.index()));
+                refused(core.countTurnedAway(classInfo.index()));
             } else {
-                RequestOptions ask;
+                RequestOptions options;
                 try {
                     JobHeaders headers = JobHeaders.of(head);
-                    Terms told = admission == null
+                    Terms contractTerms = admission == null
                             ? null
                             : admission.verdict().operation().terms();
-                    long most = told == null ? terms.deadline() : told.within(terms.deadline());
-                    double slots = told == null ? 1 : told.usualSlots();
+                    long maxMicros =
+                            contractTerms == null ? classInfo.deadline() : contractTerms.within(classInfo.deadline());
+                    double slots = contractTerms == null ? 1 : contractTerms.usualSlots();
                     boolean repeat = "1".equals(head.header("x-resent"));
-                    boolean less = patience.computeIfAbsent(terms.index(), c -> new ClientWaitTracker())
-                            .isShorterThanUsual(headers.remainingMicros(terms.deadline()));
-                    ask = new RequestOptions(
+                    boolean shorterThanUsual = waitTrackers
+                            .computeIfAbsent(classInfo.index(), c -> new ClientWaitTracker())
+                            .isShorterThanUsual(headers.remainingMicros(classInfo.deadline()));
+                    options = new RequestOptions(
                             request.arrivedMicros(),
-                            headers.remainingMicros(most),
+                            headers.remainingMicros(maxMicros),
                             repeat,
                             tenants.indexOf(head.header("x-org")),
                             headers.entityKey(),
                             headers.number("slots", "width", slots),
                             headers.number("memory", "ram_units", 0),
                             headers.estimateMicros(),
-                            less && !repeat);
+                            shorterThanUsual && !repeat);
                 } catch (NumberFormatException e) {
                     reject(400, "an unreadable number in the headers: " + e.getMessage());
                     return;
                 }
-                proven = true;
-                // The handle is known only when take() returns; the answer may come before that.
-                long taken = core.submit(
+                hasSentValidJob = true;
+                // The handle is known only after this call returns, but the response may be sent during it.
+                long newHandle = core.submit(
                         this,
                         new JobSpec(
                                 id,
-                                terms.index(),
+                                classInfo.index(),
                                 head.targetOrStatus(),
-                                effectKey,
+                                idempotencyKey,
                                 head.header("content-type"),
                                 request.body(),
                                 admission == null ? null : gate.bind(admission, id)),
-                        ask);
-                handle = current == request ? taken : handle;
+                        options);
+                handle = current == request ? newHandle : handle;
             }
         }
 
         @Override
         public void served(byte[] result) {
-            respond(HttpMessageBuilder.response(200), result == null ? NOTHING : result);
+            respond(HttpMessageBuilder.response(200), result == null ? EMPTY_BODY : result);
         }
 
         @Override
         public void refused(long waitMicros) {
-            HttpMessageBuilder answer = HttpMessageBuilder.response(503);
-            answer.header("Retry-After", waitMicros > 0 ? decimal(waitMicros) : null);
-            respond(answer, NOTHING);
+            HttpMessageBuilder response = HttpMessageBuilder.response(503);
+            response.header("Retry-After", waitMicros > 0 ? formatSeconds(waitMicros) : null);
+            respond(response, EMPTY_BODY);
         }
 
         @Override
         public void failed() {
-            respond(HttpMessageBuilder.response(500), NOTHING);
+            respond(HttpMessageBuilder.response(500), EMPTY_BODY);
         }
 
         @Override
         public boolean clientLeft() {
-            // Danger: a close is seen behind what is still to be read.
+            // A close by the client is detected only after the unread input before it.
             return channel.isClosed() || channel.isReadLagging();
         }
 
-        /** Turns away what can't be used, and whoever sent it: such clients hold connections for long. */
+        /** Rejects an unusable request and closes its connection, since such clients tend to hold connections open. */
         private void reject(int status, String why) {
-            complaints.add(Integer.toString(status), "connection " + channel.tableIndex() + ": " + why);
-            forgetAll();
-            // Under a contract all that is turned away hears so in one form.
-            lastWord(HttpMessageBuilder.response(status)
+            warnings.add(Integer.toString(status), "connection " + channel.tableIndex() + ": " + why);
+            releaseAll();
+            // Under a contract every rejection has the same media type.
+            writeAndClose(HttpMessageBuilder.response(status)
                     .header("Content-Type", gate.hasContract() ? Problem.MEDIA_TYPE : "text/plain")
                     .header("Allow", status == 405 ? "POST" : null)
                     .header("Retry-After", status == 503 ? 1 : null)
@@ -377,31 +391,33 @@
                                     : why.getBytes(StandardCharsets.UTF_8)));
         }
 
-        /**
-         * Danger: a close over what is still unread would reset the connection, and the answer go with it.
-         */
-        private void lastWord(byte[] answer) {
-            ending = true;
+        /** Writes the last response and closes after a delay: closing over unread input would reset the connection. */
+        private void writeAndClose(byte[] response) {
+            closing = true;
             loop.cancel(deadline);
-            channel.writeAndLinger(answer);
-            deadline = loop.at(loop.now() + LINGER, channel::close);
+            channel.writeAndLinger(response);
+            deadline = loop.at(loop.now() + LINGER_MICROS, channel::close);
         }
 
-        private void respond(HttpMessageBuilder answer, byte[] body) {
-            // Danger: a request that has come is owed an answer, also when the node drains.
-            boolean last = intake != IntakeMode.OPEN && waiting.isEmpty()
+        private void respond(HttpMessageBuilder response, byte[] body) {
+            // Requests that have been received are answered even while the node drains.
+            boolean last = intake != IntakeMode.OPEN && pendingRequests.isEmpty()
                     || current != null && current.head().closes();
-            byte[] message = answer.header("Connection", last ? "close" : null).bytes(body);
-            forgetCurrent();
+            byte[] message =
+                    response.header("Connection", last ? "close" : null).bytes(body);
+            releaseCurrent();
             handle = 0;
             if (last) {
-                lastWord(message);
+                writeAndClose(message);
             } else {
                 channel.write(message);
-                deadline = loop.at(loop.now() + (begun || !proven ? WHOLE_REQUEST : IDLE), this::late);
-                if (!waiting.isEmpty()) {
-                    loop.execute(this::next);
-                } else if (proven) {
+                deadline = loop.at(
+                        loop.now()
+                                + (requestStarted || !hasSentValidJob ? REQUEST_TIMEOUT_MICROS : IDLE_TIMEOUT_MICROS),
+                        this::onTimeout);
+                if (!pendingRequests.isEmpty()) {
+                    loop.execute(this::processNext);
+                } else if (hasSentValidJob) {
                     channel.markIdle();
                 } else {
                     channel.markUnproven();
@@ -410,8 +426,8 @@
         }
     }
 
-    /** Seconds, exact to the millisecond. */
-    private static String decimal(long micros) {
+    /** Formats a time as seconds, rounded up to the millisecond. */
+    private static String formatSeconds(long micros) {
         long millis = (micros + 999) / 1_000;
         return millis % 1_000 == 0
                 ? Long.toString(millis / 1_000)
