--- a/src/main/java/gorserill/protocol/http/DiscoveryCall.java
+++ b/src/main/java/gorserill/protocol/http/DiscoveryCall.java
@@ -17,26 +17,26 @@
 import java.util.logging.Logger;
 import org.glassfish.grizzly.filterchain.FilterChain;
 
-/** A connection to discovery with one call after another on it. It reads answers, and decides nothing. */
+/** A connection to discovery that carries one call after another and reports the results to a {@link Listener}. */
 final class DiscoveryCall implements ChannelListener {
     private static final Logger LOG = Logger.getLogger(DiscoveryCall.class.getName());
     private static final JsonFactory JSON = new JsonFactory();
     private static final int OK = 200;
-    /** The status of an answer to a call that discovery has no time for, or can't answer. */
-    private static final int TURNED_AWAY = 503;
-    /** What was on its way as the sending ended has come by then, microseconds. */
-    private static final long LAST_WORDS = 2_000_000;
+    /** Status by which discovery rejects a call because it is overloaded or cannot answer. */
+    private static final int SERVICE_UNAVAILABLE = 503;
+    /** Time after the end of sending in which a response that was already under way arrives, in microseconds. */
+    private static final long CLOSE_TIMEOUT_MICROS = 2_000_000;
 
-    /** Is told, on the loop's thread, what becomes of a call; nothing once it was closed. */
+    /** Receives the result of each call on the loop's thread; it is not called after {@link #close}. */
     interface Listener {
         void opened(DiscoveryCall call);
 
-        /** @param closes whether no other call can be made on the connection */
+        /** @param closes whether the connection cannot be used for another call */
         void answered(DiscoveryCall call, WorkerListing listing, boolean closes);
 
         void rejected(DiscoveryCall call);
 
-        /** There was no answer in the time that was given for it. */
+        /** The call was not answered within its timeout. */
         void timedOut(DiscoveryCall call);
 
         void failed(DiscoveryCall call, String why);
@@ -47,22 +47,22 @@
     private final int number;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final Transport.PendingConnection connecting;
-    /** When the present call was begun, its connection included. */
-    private long begun;
+    /** Start of the current call, including the connect for the first one, on the loop's clock. */
+    private long startedAt;
 
     private Channel channel;
     private Deadline deadline;
     private HttpHead head;
     private boolean sent;
-    private boolean finishing;
+    private boolean closingGracefully;
     private boolean closed;
-    /** News up to this version came from elsewhere while the present call was out. */
+    /** Listings below this version are outdated: another call brought newer data while this one was pending. */
     private long outdatedBelow;
 
     /**
      * Opens the connection.
      *
-     * @param number in the order in which they are opened, for logs
+     * @param number consecutive number of the connection, for logs
      */
     DiscoveryCall(
             Loop loop,
@@ -74,34 +74,35 @@
         this.loop = loop;
         this.listener = listener;
         this.number = number;
-        begun = loop.now();
+        startedAt = loop.now();
         connecting = transport.connect(address, chain, this);
-        deadline = loop.at(begun + CallPace.CONNECT_TIMEOUT_MS * 1_000, () -> listener.failed(this, "no connection"));
+        deadline = loop.at(
+                startedAt + CallPace.CONNECT_TIMEOUT_MS * 1_000, () -> listener.failed(this, "connect timeout"));
     }
 
-    /** Makes the next call. */
-    void send(String target, long patienceMillis) {
+    /** Sends the next call. */
+    void send(String target, long timeoutMillis) {
         LOG.log(Level.FINE, "discovery: asks {0}", target);
         if (sent) {
-            begun = loop.now();
+            startedAt = loop.now();
         }
         sent = true;
         outdatedBelow = 0;
         channel.write(HttpMessageBuilder.request("GET", target, "discovery").bytes());
         loop.cancel(deadline);
-        deadline = loop.at(loop.now() + patienceMillis * 1_000, () -> listener.timedOut(this));
+        deadline = loop.at(loop.now() + timeoutMillis * 1_000, () -> listener.timedOut(this));
     }
 
-    /** Whether a call is out. */
+    /** Whether a call has been sent on this connection. */
     boolean isSent() {
         return sent;
     }
 
     long elapsedMillis() {
-        return (loop.now() - begun) / 1_000;
+        return (loop.now() - startedAt) / 1_000;
     }
 
-    /** What is answered to the call at hand may be older than this version. */
+    /** Marks listings below the given version as outdated for the current call. */
     void markOutdatedBelow(long version) {
         outdatedBelow = Math.max(outdatedBelow, version);
     }
@@ -110,26 +111,26 @@
         return listing.index() < outdatedBelow;
     }
 
-    /** It may take as long as it likes from now on. */
+    /** Removes the time limit of the current call. */
     void cancelTimeout() {
         loop.cancel(deadline);
     }
 
     /**
-     * Ends the sending, and reads on for what is on its way. Danger: closed at once, an answer that discovery has just
-     * written, and that counts as told, would be lost.
+     * Shuts down the sending side and reads responses that are still under way. Closing at once would lose a response
+     * that discovery has just written, although discovery considers this node informed of its content.
      */
     void closeGracefully() {
-        if (finishing) {
+        if (closingGracefully) {
             return;
         }
-        finishing = true;
+        closingGracefully = true;
         channel.shutdownOutput();
         loop.cancel(deadline);
-        deadline = loop.at(loop.now() + LAST_WORDS, this::close);
+        deadline = loop.at(loop.now() + CLOSE_TIMEOUT_MICROS, this::close);
     }
 
-    /** Closes it; nothing more is told of it. */
+    /** Closes the connection; the listener is not called any more. */
     void close() {
         closed = true;
         loop.cancel(deadline);
@@ -144,7 +145,7 @@
         return closed;
     }
 
-    /** For logs: which it is, how long it has been out, and what had come of an answer. */
+    /** Describes the call for logs: its number, its duration and the received bytes of the response. */
     String describe() {
         return "call " + number + ", out for " + elapsedMillis() + " ms, " + body.size() + " bytes of an answer,";
     }
@@ -161,15 +162,15 @@
 
     @Override
     public void connectFailed(String why) {
-        fail(why);
+        reportFailure(why);
     }
 
     @Override
     public void closed() {
-        fail("the connection ended");
+        reportFailure("connection closed by discovery");
     }
 
-    private void fail(String why) {
+    private void reportFailure(String why) {
         if (!closed) {
             listener.failed(this, why);
         }
@@ -181,37 +182,37 @@
         for (Object message : (List<Object>) messages) {
             if (closed) {
                 return;
-            } else if (message instanceof HttpHead answer) {
-                head = answer;
+            } else if (message instanceof HttpHead response) {
+                head = response;
                 body.reset();
             } else if (message instanceof byte[] data) {
                 body.writeBytes(data);
             } else if (message == HttpCodec.END_OF_RESPONSE) {
-                answered();
+                onResponseEnd();
             } else if (message != PARTIAL_MESSAGE) {
-                fail(((HttpException) message).getMessage());
+                reportFailure(((HttpException) message).getMessage());
             }
         }
     }
 
-    private void answered() {
+    private void onResponseEnd() {
         LOG.log(Level.FINE, "discovery: answers {0} with {1} bytes", new Object[] {head.status(), body.size()});
-        if (head.status() == TURNED_AWAY) {
+        if (head.status() == SERVICE_UNAVAILABLE) {
             listener.rejected(this);
         } else if (head.status() != OK) {
-            fail("status " + head.status());
+            reportFailure("status " + head.status());
         } else {
-            listed();
+            parseListing();
         }
     }
 
-    private void listed() {
+    private void parseListing() {
         WorkerListing listing;
         try (JsonParser json = JSON.createParser(body.toByteArray())) {
             json.nextToken();
             listing = WorkerListing.read(json);
         } catch (IOException e) {
-            fail("an unreadable listing: " + e.getMessage());
+            reportFailure("malformed listing: " + e.getMessage());
             return;
         }
         body.reset();
--- a/src/main/java/gorserill/protocol/http/HttpWatch.java
+++ b/src/main/java/gorserill/protocol/http/HttpWatch.java
@@ -14,50 +14,55 @@
 import org.glassfish.grizzly.filterchain.FilterChain;
 
 /**
- * A watch on discovery: one call after another on one connection, the next at once after an answer, since a
- * watch lives on only if it is taken up within 200 ms. After a failure that came soon it rests until
- * {@link #start}; one that took long is followed by the next call at once ({@link CallPace#failed}).
+ * Watches the list of workers at the discovery service by long polling: one call after another on one connection. The
+ * next call follows each response at once, since discovery drops a watch that is not renewed within 200 ms. After a
+ * call that failed early the watch pauses until {@link #start}; a call that failed late is repeated at once
+ * ({@link CallPace#retryAtOnceAfterFailure}).
  *
- * <p>A call that is replaced by another, after a move or a silence, is not given up: what discovery writes counts as
- * told, and the one that waits for its turn may be answered long before its successor. Superseded calls are read until
- * the present one is answered.
+ * <p>A call that is superseded after an address change or a timeout is not abandoned: discovery considers this node
+ * informed as soon as it has written a response, and may answer the superseded call long before its successor.
+ * Superseded calls are therefore read until the current one is answered.
  */
 public final class HttpWatch {
     private static final Logger LOG = Logger.getLogger(HttpWatch.class.getName());
-    /** A new address is tried this often, for so long. Danger: its word counts as told 4 s after the move. */
-    private static final long EAGER_PAUSE = 100_000;
+    /** Interval between attempts at a new address, during {@link #FAST_RETRY_MICROS}. */
+    private static final long FAST_RETRY_INTERVAL_MICROS = 100_000;
 
-    private static final long EAGER = 4_000_000;
-    /** Superseded calls that are read at a time; beyond that the oldest is closed. */
+    /** Four seconds after the change this node counts as informed of what the new address reports. */
+    private static final long FAST_RETRY_MICROS = 4_000_000;
+    /** Maximum number of superseded calls that are still read; beyond it the oldest is closed. */
     private static final int MAX_SUPERSEDED = 6;
-    /** Connections to discovery at a time: the call at hand, those that it superseded, and one being closed. */
+    /** Maximum number of connections to discovery: the current call, the superseded ones, and one being closed. */
     public static final int MAX_CONNECTIONS = MAX_SUPERSEDED + 2;
 
     private final Loop loop;
     private final Transport transport;
     private final FilterChain chain;
-    private final Consumer<WorkerListing> heard;
-    private final Runnable failed;
+    private final Consumer<WorkerListing> onListing;
+    private final Runnable onFailure;
     private final CallPace pace;
     private final WatchStatistics statistics = new WatchStatistics();
     private final CallListener callListener = new CallListener();
-    /** The oldest first. */
+    /** Superseded calls that are still read, oldest first. */
     private final Deque<DiscoveryCall> superseded = new ArrayDeque<>();
 
     private InetSocketAddress address;
-    /** Until then a failure at a new address is tried again at once. */
-    private long eagerUntil;
+    /** End of the fast retries after an address change, on the loop's clock. */
+    private long fastRetryUntil;
 
     private boolean started;
-    /** No call goes out before. */
-    private long restsUntil;
+    /** Earliest time of the next call, on the loop's clock. */
+    private long notBefore;
 
     private long index;
-    /** The first call asks for the whole list: it is answered at once, a watch only when there is news. */
-    private boolean whole = true;
+    /**
+     * Whether the next call requests the whole list, as the first one does. Discovery answers it at once, but answers a
+     * watch only when there is a change.
+     */
+    private boolean requestWhole = true;
 
     private DiscoveryCall call;
-    private int calls;
+    private int callCount;
 
     public HttpWatch(
             Loop loop,
@@ -65,70 +70,70 @@
             FilterChain chain,
             InetSocketAddress address,
             CallPace pace,
-            Consumer<WorkerListing> heard,
-            Runnable failed) {
+            Consumer<WorkerListing> onListing,
+            Runnable onFailure) {
         this.pace = pace;
         this.loop = loop;
         this.transport = transport;
         this.chain = chain;
         this.address = address;
-        this.heard = heard;
-        this.failed = failed;
+        this.onListing = onListing;
+        this.onFailure = onFailure;
     }
 
-    /** Discovery is to be found elsewhere from now on. */
-    public void moveTo(InetSocketAddress to) {
-        if (to.equals(address)) {
+    /** Changes the address of discovery and calls the new address at once. */
+    public void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        LOG.log(Level.INFO, "discovery: moves from {0} to {1}", new Object[] {address, to});
-        address = to;
-        whole = true;
+        LOG.log(Level.INFO, "discovery: moves from {0} to {1}", new Object[] {address, newAddress});
+        address = newAddress;
+        requestWhole = true;
         started = true;
-        restsUntil = loop.now();
-        eagerUntil = loop.now() + EAGER;
+        notBefore = loop.now();
+        fastRetryUntil = loop.now() + FAST_RETRY_MICROS;
         supersede();
         start();
     }
 
-    /** What came of the calls since the start. */
+    /** Counts of the calls and their outcomes since the start. */
     public WatchStatistics statistics() {
         return statistics;
     }
 
     /**
-     * The node starts with this list. Danger: whole lists for nodes that start together keep a service that
-     * takes its callers in turn busy with what they know, and each call that it turns away leaves a node
-     * without a watch; so there it is asked for what is new since.
+     * Starts from a list that the node already has, so that the first call requests only later changes. If nodes that
+     * start together all requested the whole list, a discovery service that handles its callers one by one would be
+     * busy sending known entries, and each call that it rejects would leave a node without a watch.
      */
-    public void startFrom(WorkerListing known) {
-        if (!known.entries().isEmpty() && !pace.startsWithFullList()) {
-            index = known.index();
-            whole = false;
+    public void startFrom(WorkerListing listing) {
+        if (!listing.entries().isEmpty() && !pace.startsWithFullList()) {
+            index = listing.index();
+            requestWhole = false;
         }
     }
 
-    /** Starts watching, unless it is under way. */
+    /** Starts the watch unless it is running. */
     public void start() {
         if (!started) {
             started = true;
-            restsUntil = loop.now() + (whole ? 0 : pace.initialDelay() * 1_000);
+            notBefore = loop.now() + (requestWhole ? 0 : pace.initialDelay() * 1_000);
         }
-        if (loop.now() < restsUntil) {
-            loop.at(restsUntil, this::start);
+        if (loop.now() < notBefore) {
+            loop.at(notBefore, this::start);
         } else if (call == null) {
             statistics.countCall();
-            call = new DiscoveryCall(loop, transport, chain, address, ++calls, callListener);
+            call = new DiscoveryCall(loop, transport, chain, address, ++callCount, callListener);
         }
     }
 
-    private void ask() {
-        long wait = whole ? 0 : pace.nextWatchWait();
-        String target = "/v1/servers" + (whole ? "" : "?index=" + index + "&wait=" + wait);
+    private void sendCall() {
+        long wait = requestWhole ? 0 : pace.nextWatchWait();
+        String target = "/v1/servers" + (requestWhole ? "" : "?index=" + index + "&wait=" + wait);
         call.send(target, pace.answerTimeout(wait));
     }
 
-    /** Another call takes the place of the one at hand, which is read on if discovery has it. */
+    /** Supersedes the current call, which is still read if it has been sent. */
     private void supersede() {
         if (call == null) {
             return;
@@ -147,66 +152,66 @@
         call = null;
     }
 
-    /** The call at hand was answered: the others have nothing to tell but what is on its way. */
-    private void finishSuperseded() {
+    /** Closes the superseded calls once the current one is answered; responses already on their way are still read. */
+    private void closeSuperseded() {
         superseded.removeIf(DiscoveryCall::isClosed);
         superseded.forEach(DiscoveryCall::closeGracefully);
     }
 
-    /** The call at hand is over, and no other follows at once. */
-    private void endCall() {
+    /** Closes the current call without starting another. */
+    private void closeCall() {
         call.close();
         call = null;
     }
 
-    private void fallBack() {
-        if (loop.now() < eagerUntil) {
-            loop.at(loop.now() + EAGER_PAUSE, this::start);
+    private void retryOrFail() {
+        if (loop.now() < fastRetryUntil) {
+            loop.at(loop.now() + FAST_RETRY_INTERVAL_MICROS, this::start);
         } else {
-            failed.run();
+            onFailure.run();
         }
     }
 
     private final class CallListener implements DiscoveryCall.Listener {
         @Override
         public void opened(DiscoveryCall source) {
-            ask();
+            sendCall();
         }
 
         @Override
         public void answered(DiscoveryCall source, WorkerListing listing, boolean closes) {
             if (source != call) {
-                answeredLate(source, listing);
+                answeredSuperseded(source, listing);
                 return;
             }
             boolean outdated = source.isOutdated(listing);
             if (!outdated) {
-                // Danger: a lower index is another count, of a service that has begun anew: what it calls new
-                // since then may leave out whatever came before.
-                whole = !listing.whole() && listing.index() < index;
+                // A lower index means that discovery has restarted with a new numbering; its incremental updates may
+                // lack earlier changes, so the whole list is requested next.
+                requestWhole = !listing.whole() && listing.index() < index;
                 index = listing.index();
             } else {
-                // It was written before the news that a superseded call has brought meanwhile.
-                whole = true;
+                // The response is older than an update that a superseded call has brought in the meantime.
+                requestWhole = true;
             }
-            eagerUntil = 0;
+            fastRetryUntil = 0;
             pace.recordAnswer();
             statistics.countAnswered();
-            finishSuperseded();
+            closeSuperseded();
             if (closes) {
-                endCall();
+                closeCall();
                 start();
             } else {
-                ask();
+                sendCall();
             }
             if (!outdated) {
-                heard.accept(listing);
+                onListing.accept(listing);
             }
         }
 
-        /** Danger: what it tells counts as told, whichever call is the present one. */
-        private void answeredLate(DiscoveryCall source, WorkerListing listing) {
-            drop(source);
+        /** Applies the response to a superseded call, since discovery considers this node informed of its content. */
+        private void answeredSuperseded(DiscoveryCall source, WorkerListing listing) {
+            remove(source);
             if (listing.index() <= index) {
                 return;
             }
@@ -218,31 +223,31 @@
             if (call != null) {
                 call.markOutdatedBelow(index);
             }
-            heard.accept(listing);
+            onListing.accept(listing);
         }
 
-        private void drop(DiscoveryCall source) {
+        private void remove(DiscoveryCall source) {
             superseded.remove(source);
             source.close();
         }
 
-        /** Danger: after a move the new address counts as heard soon, and is asked again at once. */
+        /** Pauses, except after an address change, since this node soon counts as informed by the new address. */
         @Override
         public void rejected(DiscoveryCall source) {
             if (source != call) {
-                drop(source);
+                remove(source);
                 return;
             }
             statistics.countTurnedAway();
             LOG.log(Level.WARNING, "discovery: the watch was turned away: {0} ends", source.describe());
-            restsUntil = loop.now() < eagerUntil ? loop.now() : loop.now() + pace.delayAfterTurnedAway() * 1_000;
-            endCall();
-            fallBack();
+            notBefore = loop.now() < fastRetryUntil ? loop.now() : loop.now() + pace.delayAfterTurnedAway() * 1_000;
+            closeCall();
+            retryOrFail();
         }
 
         /**
-         * Danger: a silence is no refusal, and the time until what it hid counts as told is short: the next
-         * call goes out at once. It can't do so often, since a silence takes seconds to notice.
+         * Sends the next call at once: discovery has not refused the call, and it will soon consider this node
+         * informed of an update that may have been lost. This cannot happen often, since a timeout takes seconds.
          */
         @Override
         public void timedOut(DiscoveryCall source) {
@@ -256,17 +261,17 @@
         @Override
         public void failed(DiscoveryCall source, String why) {
             if (source != call) {
-                drop(source);
+                remove(source);
                 return;
             }
             statistics.countFailed();
             LOG.log(Level.WARNING, "discovery: the watch failed: {0}: {1} ends", new Object[] {why, source.describe()});
-            boolean atOnce = pace.retryAtOnceAfterFailure(source.elapsedMillis());
-            endCall();
-            if (atOnce) {
+            boolean retryNow = pace.retryAtOnceAfterFailure(source.elapsedMillis());
+            closeCall();
+            if (retryNow) {
                 start();
             } else {
-                fallBack();
+                retryOrFail();
             }
         }
     }
--- a/src/main/java/gorserill/protocol/http/IdleReuseLimit.java
+++ b/src/main/java/gorserill/protocol/http/IdleReuseLimit.java
@@ -3,44 +3,43 @@
 import gorserill.common.Loop;
 
 /**
- * How long an idle connection to a worker is taken to be alive. Danger: what lies between may forget
- * connections without a word, long before the limit that is told; the next request on one is reset, and may
- * not be sent again where its class forbids that. The trust falls with each such reset and comes back in
- * time.
+ * Adaptive limit on the idle time after which a connection to a worker is still reused. Middleboxes may drop idle
+ * connections silently, long before the configured idle timeout; the next request on such a connection is reset, and
+ * cannot be retried if its class forbids that. Each such reset lowers the limit, which recovers over time.
  */
 final class IdleReuseLimit {
-    private static final long LEAST = 100_000;
-    /** A reset so soon after the request was sent, with nothing of an answer, speaks of a forgotten one. */
-    private static final long AT_ONCE = 100_000;
-    /** After so long without a doubt the trust doubles. */
-    private static final long RECOVERY = 10_000_000;
+    private static final long MIN_LIMIT_MICROS = 100_000;
+    /** A reset within this time of sending, before any part of the response, indicates a dropped connection. */
+    private static final long PROMPT_RESET_MICROS = 100_000;
+    /** The limit doubles after each such period without a reset. */
+    private static final long RECOVERY_PERIOD_MICROS = 10_000_000;
 
     private final Loop loop;
-    private final long most;
-    private long limit;
-    private long lastChange;
+    private final long maxMicros;
+    private long currentLimitMicros;
+    private long lastChangeMicros;
 
-    /** @param most the trust that nothing speaks against */
-    IdleReuseLimit(Loop loop, long most) {
+    /** @param maxMicros the limit in the absence of resets */
+    IdleReuseLimit(Loop loop, long maxMicros) {
         this.loop = loop;
-        this.most = most;
-        limit = most;
+        this.maxMicros = maxMicros;
+        currentLimitMicros = maxMicros;
     }
 
-    /** The longest that a connection may have been idle to be used again. */
+    /** The maximum idle time of a connection that may be reused. */
     long limitMicros() {
-        while (limit < most && loop.now() - lastChange >= RECOVERY) {
-            limit = Math.min(most, 2 * limit);
-            lastChange += RECOVERY;
+        while (currentLimitMicros < maxMicros && loop.now() - lastChangeMicros >= RECOVERY_PERIOD_MICROS) {
+            currentLimitMicros = Math.min(maxMicros, 2 * currentLimitMicros);
+            lastChangeMicros += RECOVERY_PERIOD_MICROS;
         }
-        return limit;
+        return currentLimitMicros;
     }
 
-    /** A request on a connection that had been idle was reset before any answer. */
-    void onReset(long idle, long sinceSent) {
-        if (sinceSent <= AT_ONCE && idle / 2 < limitMicros()) {
-            limit = Math.min(most, Math.max(LEAST, idle / 2));
+    /** Records that a request on a reused connection was reset before any part of its response. */
+    void onReset(long idleMicros, long sinceSentMicros) {
+        if (sinceSentMicros <= PROMPT_RESET_MICROS && idleMicros / 2 < limitMicros()) {
+            currentLimitMicros = Math.min(maxMicros, Math.max(MIN_LIMIT_MICROS, idleMicros / 2));
         }
-        lastChange = sinceSent <= AT_ONCE ? loop.now() : lastChange;
+        lastChangeMicros = sinceSentMicros <= PROMPT_RESET_MICROS ? loop.now() : lastChangeMicros;
     }
 }
