--- a/src/main/java/gorserill/protocol/http/HttpCall.java
+++ b/src/main/java/gorserill/protocol/http/HttpCall.java
@@ -2,14 +2,14 @@
 
 import gorserill.contract.Call;
 
-/** A request of HTTP as a contract looks at it. */
+/** Adapts an HTTP request to the {@link Call} interface that contracts check. */
 record HttpCall(HttpRequest request, String path, String query) implements Call {
     static HttpCall of(HttpRequest request) {
         String target = request.head().targetOrStatus();
-        int question = target.indexOf('?');
-        return question < 0
+        int queryStart = target.indexOf('?');
+        return queryStart < 0
                 ? new HttpCall(request, target, null)
-                : new HttpCall(request, target.substring(0, question), target.substring(question + 1));
+                : new HttpCall(request, target.substring(0, queryStart), target.substring(queryStart + 1));
     }
 
     @Override
--- a/src/main/java/gorserill/protocol/http/HttpCodec.java
+++ b/src/main/java/gorserill/protocol/http/HttpCodec.java
@@ -18,70 +18,69 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /**
- * HTTP/1.1 as a filter. Upwards go lists of what was made out: on the client side's connections whole {@link
- * HttpRequest}s, and {@link ChannelListener#PARTIAL_MESSAGE} where one is not whole yet; on those to servers
- * {@link HttpHead}, the body's pieces as {@code byte[]}, {@link #END_OF_RESPONSE}, and {@link
- * ChannelListener#PARTIAL_MESSAGE}; on both an {@link HttpException}, after which nothing comes. Downwards it
- * takes {@code byte[]}.
+ * HTTP/1.1 codec as a Grizzly filter. It passes lists of parsed messages up the chain. In the server role these are
+ * complete {@link HttpRequest}s; in the client role they are {@link HttpHead}, the parts of the body as {@code byte[]},
+ * and {@link #END_OF_RESPONSE}. In both roles {@link ChannelListener#PARTIAL_MESSAGE} marks an
+ * incomplete message, and an {@link HttpException} ends the input. Writes take {@code byte[]}.
  */
 public final class HttpCodec extends BaseFilter {
-    /** The end of an answer. */
+    /** Marks the end of a response. */
     public static final Object END_OF_RESPONSE = new Object();
 
-    private static final byte[] CONTINUE = HttpMessageBuilder.ascii("HTTP/1.1 100 Continue\r\n\r\n");
+    private static final byte[] CONTINUE_RESPONSE = HttpMessageBuilder.ascii("HTTP/1.1 100 Continue\r\n\r\n");
 
-    /** When what is read came, microseconds. */
+    /** Supplies the arrival time of the input, in microseconds. */
     private final LongSupplier arrival;
 
-    private final boolean answers;
-    private final int maxBody;
-    private final MemoryBudget room;
+    private final boolean responses;
+    private final int maxBodyBytes;
+    private final MemoryBudget bodyBudget;
     private final Attribute<State> states =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("gorserill.http." + System.identityHashCode(this));
 
     private static final class State {
-        final HttpParser reader;
+        final HttpParser parser;
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        boolean broken;
-        boolean begun;
-        /** The message at hand is an interim answer (1xx), which no caller waits for. */
+        boolean failed;
+        boolean incomplete;
+        /** The current message is an interim response (1xx), which is not passed on. */
         boolean interim;
 
-        State(HttpParser reader) {
-            this.reader = reader;
+        State(HttpParser parser) {
+            this.parser = parser;
         }
     }
 
-    private HttpCodec(LongSupplier arrival, boolean answers, int maxBody, MemoryBudget room) {
+    private HttpCodec(LongSupplier arrival, boolean responses, int maxBodyBytes, MemoryBudget bodyBudget) {
         this.arrival = arrival;
-        this.answers = answers;
-        this.maxBody = maxBody;
-        this.room = room;
+        this.responses = responses;
+        this.maxBodyBytes = maxBodyBytes;
+        this.bodyBudget = bodyBudget;
     }
 
     /**
-     * The codec for a listener, which reads requests.
+     * Creates a codec in the server role, which reads requests.
      *
-     * @param arrival when what is read came, at the earliest, microseconds of the loop's clock
-     * @param room taken for each body; whoever has done with a request frees it
+     * @param arrival supplies the earliest possible arrival time of the input, in microseconds of the loop's clock
+     * @param bodyBudget memory budget for bodies; the receiver of a request frees its share after use
      */
-    public static HttpCodec server(LongSupplier arrival, int maxBody, MemoryBudget room) {
-        return new HttpCodec(arrival, false, maxBody, room);
+    public static HttpCodec server(LongSupplier arrival, int maxBodyBytes, MemoryBudget bodyBudget) {
+        return new HttpCodec(arrival, false, maxBodyBytes, bodyBudget);
     }
 
-    /** The codec for connections to servers, which reads answers. */
-    public static HttpCodec client(Loop loop, int maxBody) {
-        return new HttpCodec(loop::now, true, maxBody, null);
+    /** Creates a codec in the client role, which reads responses. */
+    public static HttpCodec client(Loop loop, int maxBodyBytes) {
+        return new HttpCodec(loop::now, true, maxBodyBytes, null);
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
         State state = states.get(ctx.getConnection());
         if (state == null) {
-            state = new State(new HttpParser(answers, maxBody));
+            state = new State(new HttpParser(responses, maxBodyBytes));
             states.set(ctx.getConnection(), state);
-            State its = state;
-            ((Closeable) ctx.getConnection()).addCloseListener((connection, type) -> end(its));
+            State closing = state;
+            ((Closeable) ctx.getConnection()).addCloseListener((connection, type) -> onClose(closing));
         }
         Buffer buffer = ctx.getMessage();
         List<Object> out = new ArrayList<>(4);
@@ -94,48 +93,48 @@
     }
 
     private void read(FilterChainContext ctx, State state, List<Object> out) {
-        if (!state.broken) {
-            state.reader.feed(((Buffer) ctx.getMessage()).toByteBuffer());
+        if (!state.failed) {
+            state.parser.feed(((Buffer) ctx.getMessage()).toByteBuffer());
             try {
                 decode(ctx, state, out);
-                boolean more = state.reader.midMessage();
-                if (more && (!state.begun || !out.isEmpty())) {
+                boolean midMessage = state.parser.midMessage();
+                if (midMessage && (!state.incomplete || !out.isEmpty())) {
                     out.add(ChannelListener.PARTIAL_MESSAGE);
                 }
-                state.begun = more;
+                state.incomplete = midMessage;
             } catch (HttpException e) {
-                state.broken = true;
-                dropBody(state);
+                state.failed = true;
+                discardBody(state);
                 out.add(e);
             }
         }
     }
 
     private void decode(FilterChainContext ctx, State state, List<Object> out) throws HttpException {
-        for (Event event = state.reader.next(); event != Event.NEED_MORE_INPUT; event = state.reader.next()) {
-            HttpHead head = state.reader.head();
+        for (Event event = state.parser.next(); event != Event.NEED_MORE_INPUT; event = state.parser.next()) {
+            HttpHead head = state.parser.head();
             switch (event) {
                 case HEAD -> {
-                    state.interim = answers && head.status() < 200;
-                    if (answers && !state.interim) {
+                    state.interim = responses && head.status() < 200;
+                    if (responses && !state.interim) {
                         out.add(head);
-                    } else if (answers) {
-                        // Nothing is told of it.
+                    } else if (responses) {
+                        // Interim responses are not passed on.
                     } else if ("100-continue".equalsIgnoreCase(head.header("expect"))) {
-                        ctx.write(Buffers.wrap(ctx.getMemoryManager(), CONTINUE.clone()));
+                        ctx.write(Buffers.wrap(ctx.getMemoryManager(), CONTINUE_RESPONSE.clone()));
                     }
                 }
                 case DATA -> {
-                    if (answers) {
-                        out.add(state.reader.data());
-                    } else if (room.tryReserve(state.reader.data().length)) {
-                        state.body.writeBytes(state.reader.data());
+                    if (responses) {
+                        out.add(state.parser.data());
+                    } else if (bodyBudget.tryReserve(state.parser.data().length)) {
+                        state.body.writeBytes(state.parser.data());
                     } else {
                         throw new HttpException(503, "no room for more bodies at present");
                     }
                 }
                 default -> {
-                    if (!answers) {
+                    if (!responses) {
                         out.add(new HttpRequest(head, state.body.toByteArray(), arrival.getAsLong()));
                     } else if (!state.interim) {
                         out.add(END_OF_RESPONSE);
@@ -146,18 +145,18 @@
         }
     }
 
-    private void dropBody(State state) {
-        if (room != null) {
-            room.release(state.body.size());
+    private void discardBody(State state) {
+        if (bodyBudget != null) {
+            bodyBudget.release(state.body.size());
         }
         state.body = new ByteArrayOutputStream();
     }
 
-    /** On whichever thread the connection ends. */
-    private void end(State state) {
+    /** Releases the body's memory; runs on any thread, when the connection closes. */
+    private void onClose(State state) {
         synchronized (state) {
-            state.broken = true;
-            dropBody(state);
+            state.failed = true;
+            discardBody(state);
         }
     }
 
--- a/src/main/java/gorserill/protocol/http/HttpCodecWarmUp.java
+++ b/src/main/java/gorserill/protocol/http/HttpCodecWarmUp.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Runs the codecs on messages of the usual kind, so that the first real ones find them ready. */
+/** Runs the codecs on typical messages at start-up, so that the first real requests run on warmed-up code. */
 public final class HttpCodecWarmUp {
     private static final byte[] LINE =
             "{\"id\":\"a\",\"from\":\"w\",\"state\":\"done\",\"result\":\"r\",\"load\":{\"x0\":1.0}}"
@@ -12,11 +12,11 @@
 
     private HttpCodecWarmUp() {}
 
-    /** @throws IllegalStateException where the codecs do not understand each other */
+    /** @throws IllegalStateException if a message is not parsed as it was built */
     public static void run(int rounds) {
         LoadFieldNames names = new LoadFieldNames("x0", "x1");
         HttpParser requests = new HttpParser(false, LINE.length);
-        HttpParser answers = new HttpParser(true, LINE.length);
+        HttpParser responses = new HttpParser(true, LINE.length);
         try {
             for (int i = 0; i < rounds; i++) {
                 requests.feed(ByteBuffer.wrap(HttpMessageBuilder.request("POST", "/a", "w")
@@ -24,19 +24,20 @@
                         .header("X-Remaining-Ms", 500)
                         .header("X-Labels", "slots=1")
                         .bytes(LINE)));
-                JobHeaders headers = JobHeaders.of(head(requests));
-                answers.feed(ByteBuffer.wrap(HttpMessageBuilder.response(200)
+                JobHeaders headers = JobHeaders.of(parseHead(requests));
+                responses.feed(ByteBuffer.wrap(HttpMessageBuilder.response(200)
                         .header("X-Pressure", "x0=1")
                         .bytes(LINE)));
                 JobEvent event = JobEvent.parse(LINE, names);
-                boolean understood = headers.remainingMicros(1_000_000) == 500_000
+                boolean matches = headers.remainingMicros(1_000_000) == 500_000
                         && headers.number("slots", "", 0) == 1
-                        && JobEvent.parseLoad(head(answers).header("x-pressure"), names)
+                        && JobEvent.parseLoad(parseHead(responses).header("x-pressure"), names)
                                         .freeSlots()
                                 == 1
                         && event.state().equals("done");
-                if (!understood) {
-                    throw new IllegalStateException("the codecs do not understand each other");
+                if (!matches) {
+                    throw new IllegalStateException(
+                            "HTTP codec warm-up: parsed message differs from the message built");
                 }
             }
         } catch (IOException | HttpException e) {
@@ -44,11 +45,11 @@
         }
     }
 
-    private static HttpHead head(HttpParser reader) throws HttpException {
-        HttpParser.Event event = reader.next();
+    private static HttpHead parseHead(HttpParser parser) throws HttpException {
+        HttpParser.Event event = parser.next();
         while (event != HttpParser.Event.END) {
-            event = reader.next();
+            event = parser.next();
         }
-        return reader.head();
+        return parser.head();
     }
 }
--- a/src/main/java/gorserill/protocol/http/HttpException.java
+++ b/src/main/java/gorserill/protocol/http/HttpException.java
@@ -1,6 +1,6 @@
 package gorserill.protocol.http;
 
-/** A message that breaks HTTP/1.1 or a limit, and the status that its sender gets. */
+/** Signals a message that violates HTTP/1.1 or a size limit, with the status to return to the sender. */
 public final class HttpException extends Exception {
     private static final long serialVersionUID = 1L;
     private final int status;
--- a/src/main/java/gorserill/protocol/http/HttpMessageBuilder.java
+++ b/src/main/java/gorserill/protocol/http/HttpMessageBuilder.java
@@ -2,28 +2,28 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Puts HTTP/1.1 messages together. */
+/** Builds HTTP/1.1 requests and responses. */
 final class HttpMessageBuilder {
     private final StringBuilder head = new StringBuilder(256);
 
     static HttpMessageBuilder response(int status) {
-        HttpMessageBuilder writer = new HttpMessageBuilder();
-        writer.head
+        HttpMessageBuilder builder = new HttpMessageBuilder();
+        builder.head
                 .append("HTTP/1.1 ")
                 .append(status)
                 .append(' ')
                 .append(reasonPhrase(status))
                 .append("\r\n");
-        return writer;
+        return builder;
     }
 
     static HttpMessageBuilder request(String method, String target, String host) {
-        HttpMessageBuilder writer = new HttpMessageBuilder();
-        writer.head.append(method).append(' ').append(target).append(" HTTP/1.1\r\n");
-        return writer.header("Host", host);
+        HttpMessageBuilder builder = new HttpMessageBuilder();
+        builder.head.append(method).append(' ').append(target).append(" HTTP/1.1\r\n");
+        return builder.header("Host", host);
     }
 
-    /** A header; one whose value is null is left out. */
+    /** Adds a header unless its value is null. */
     HttpMessageBuilder header(String name, Object value) {
         if (value != null) {
             head.append(name).append(": ").append(value).append("\r\n");
@@ -31,17 +31,17 @@
         return this;
     }
 
-    /** The message, without a body. */
+    /** Returns the message without a body. */
     byte[] bytes() {
         return ascii(head.append("\r\n").toString());
     }
 
     byte[] bytes(byte[] body) {
-        byte[] start = header("Content-Length", body.length).bytes();
-        byte[] all = new byte[start.length + body.length];
-        System.arraycopy(start, 0, all, 0, start.length);
-        System.arraycopy(body, 0, all, start.length, body.length);
-        return all;
+        byte[] encodedHead = header("Content-Length", body.length).bytes();
+        byte[] message = new byte[encodedHead.length + body.length];
+        System.arraycopy(encodedHead, 0, message, 0, encodedHead.length);
+        System.arraycopy(body, 0, message, encodedHead.length, body.length);
+        return message;
     }
 
     static byte[] ascii(String text) {
--- a/src/main/java/gorserill/protocol/http/HttpParser.java
+++ b/src/main/java/gorserill/protocol/http/HttpParser.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Takes HTTP/1.1 messages of one connection apart, however their bytes come cut up. */
+/** Incremental parser of the HTTP/1.1 messages of one connection; input may be split at any byte. */
 final class HttpParser {
-    /** What was made out. */
+    /** Result of a parsing step. */
     enum Event {
         NEED_MORE_INPUT,
         HEAD,
@@ -30,11 +30,11 @@
         END
     }
 
-    private static final int MAX_HEAD = 16 * 1024;
-    private static final int MAX_LINE = 1024;
-    private static final int MAX_EMPTY_LINES = 8;
-    /** Headers whose repetition would leave open which one holds: for framing, for routing, for the job. */
-    private static final Set<String> SINGLE = Set.of(
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
+    private static final int MAX_CHUNK_LINE_BYTES = 1024;
+    private static final int MAX_LEADING_EMPTY_LINES = 8;
+    /** Headers that must not be repeated: for framing, routing or the job it would be ambiguous which value applies. */
+    private static final Set<String> NON_REPEATABLE_HEADERS = Set.of(
             "host",
             "transfer-encoding",
             "x-txn",
@@ -44,9 +44,9 @@
             "x-labels",
             "idempotency-key");
 
-    private final boolean answers;
-    private final int maxBody;
-    private byte[] bytes = new byte[512];
+    private final boolean responses;
+    private final int maxBodyBytes;
+    private byte[] buffer = new byte[512];
     private int from;
     private int to;
     private State state = State.HEAD;
@@ -55,47 +55,47 @@
     private String methodOrVersion;
     private String targetOrStatus;
     private String versionOrReason;
-    private long left;
-    private long body;
+    private long remaining;
+    private long bodyBytes;
     private byte[] data;
-    /** No end of the head was found before this place: a head that comes bit by bit is not read again. */
-    private int searched;
+    /** Offset up to which no end of the head was found, so that a head received in pieces is not scanned again. */
+    private int searchedUpTo;
 
     private int emptyLines;
-    private int trailer;
+    private int trailerBytes;
 
-    /** @param answers whether it reads answers; else requests */
-    HttpParser(boolean answers, int maxBody) {
-        this.answers = answers;
-        this.maxBody = maxBody;
+    /** @param responses whether to parse responses (true) or requests (false) */
+    HttpParser(boolean responses, int maxBodyBytes) {
+        this.responses = responses;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
     void feed(ByteBuffer in) {
-        int more = in.remaining();
-        if (to + more > bytes.length) {
+        int added = in.remaining();
+        if (to + added > buffer.length) {
             int kept = to - from;
-            int larger = Math.max(kept + more, 2 * bytes.length);
-            byte[] room = kept + more > bytes.length ? new byte[larger] : bytes;
-            System.arraycopy(bytes, from, room, 0, kept);
-            searched = Math.max(0, searched - from);
-            bytes = room;
+            int larger = Math.max(kept + added, 2 * buffer.length);
+            byte[] newBuffer = kept + added > buffer.length ? new byte[larger] : buffer;
+            System.arraycopy(buffer, from, newBuffer, 0, kept);
+            searchedUpTo = Math.max(0, searchedUpTo - from);
+            buffer = newBuffer;
             from = 0;
             to = kept;
         }
-        in.get(bytes, to, more);
-        to += more;
+        in.get(buffer, to, added);
+        to += added;
     }
 
     HttpHead head() {
         return head;
     }
 
-    /** The piece of the body that the last step made out. */
+    /** Returns the part of the body that belongs to the last {@link Event#DATA}. */
     byte[] data() {
         return data;
     }
 
-    /** Bytes have come of a message that has not ended. */
+    /** Whether part of an incomplete message has been received. */
     boolean midMessage() {
         return state != State.HEAD || from < to;
     }
@@ -104,39 +104,39 @@
         while (true) {
             switch (state) {
                 case HEAD -> {
-                    int end = endOfHead();
+                    int end = findEndOfHead();
                     if (end < 0) {
                         return Event.NEED_MORE_INPUT;
                     }
-                    parseHead(new String(bytes, from, end - from, StandardCharsets.ISO_8859_1));
+                    parseHead(new String(buffer, from, end - from, StandardCharsets.ISO_8859_1));
                     from = end;
-                    searched = end;
+                    searchedUpTo = end;
                     emptyLines = 0;
-                    trailer = 0;
+                    trailerBytes = 0;
                     return Event.HEAD;
                 }
                 case LENGTH, CHUNK, UNTIL_CLOSE -> {
-                    if (left == 0) {
+                    if (remaining == 0) {
                         state = state == State.CHUNK ? State.CHUNK_END : State.END;
                     } else if (from == to) {
                         return Event.NEED_MORE_INPUT;
                     } else {
-                        takeData();
+                        readData();
                         return Event.DATA;
                     }
                 }
                 case CHUNK_SIZE -> {
-                    String line = line();
+                    String line = readLine();
                     if (line == null) {
                         return Event.NEED_MORE_INPUT;
                     }
-                    left = chunkSize(line);
-                    body += left;
-                    limitBody();
-                    state = left == 0 ? State.TRAILER : State.CHUNK;
+                    remaining = parseChunkSize(line);
+                    bodyBytes += remaining;
+                    checkBodySize();
+                    state = remaining == 0 ? State.TRAILER : State.CHUNK;
                 }
                 case CHUNK_END -> {
-                    String line = line();
+                    String line = readLine();
                     if (line == null) {
                         return Event.NEED_MORE_INPUT;
                     }
@@ -146,13 +146,13 @@
                     state = State.CHUNK_SIZE;
                 }
                 case TRAILER -> {
-                    String line = line();
+                    String line = readLine();
                     if (line == null) {
                         return Event.NEED_MORE_INPUT;
                     }
-                    trailer += line.length() + 2;
-                    if (trailer > MAX_HEAD) {
-                        throw new HttpException(431, "a trailer of more than " + MAX_HEAD + " bytes");
+                    trailerBytes += line.length() + 2;
+                    if (trailerBytes > MAX_HEAD_BYTES) {
+                        throw new HttpException(431, "a trailer of more than " + MAX_HEAD_BYTES + " bytes");
                     }
                     state = line.isEmpty() ? State.END : State.TRAILER;
                 }
@@ -164,53 +164,53 @@
         }
     }
 
-    private void takeData() {
-        int length = (int) Math.min(left, to - from);
-        data = Arrays.copyOfRange(bytes, from, from + length);
+    private void readData() {
+        int length = (int) Math.min(remaining, to - from);
+        data = Arrays.copyOfRange(buffer, from, from + length);
         from += length;
-        left -= length;
+        remaining -= length;
     }
 
-    private int endOfHead() throws HttpException {
-        // An empty line before a request is to be overlooked (RFC 9112, 2.2), but not lines without end.
-        while (!answers && to - from >= 2 && bytes[from] == '\r' && bytes[from + 1] == '\n') {
+    private int findEndOfHead() throws HttpException {
+        // Empty lines before a request are ignored (RFC 9112, section 2.2), up to a limit.
+        while (!responses && to - from >= 2 && buffer[from] == '\r' && buffer[from + 1] == '\n') {
             from += 2;
-            if (++emptyLines > MAX_EMPTY_LINES) {
+            if (++emptyLines > MAX_LEADING_EMPTY_LINES) {
                 throw new HttpException(400, "nothing but empty lines");
             }
         }
-        for (int i = Math.max(from, searched - 3); i + 3 < to; i++) {
-            if (bytes[i] == '\r' && bytes[i + 1] == '\n' && bytes[i + 2] == '\r' && bytes[i + 3] == '\n') {
-                limitHead(i + 4 - from);
+        for (int i = Math.max(from, searchedUpTo - 3); i + 3 < to; i++) {
+            if (buffer[i] == '\r' && buffer[i + 1] == '\n' && buffer[i + 2] == '\r' && buffer[i + 3] == '\n') {
+                checkHeadSize(i + 4 - from);
                 return i + 4;
             }
         }
-        searched = to;
-        limitHead(to - from);
+        searchedUpTo = to;
+        checkHeadSize(to - from);
         return -1;
     }
 
-    private static void limitHead(int length) throws HttpException {
-        if (length > MAX_HEAD) {
-            throw new HttpException(431, "headers of more than " + MAX_HEAD + " bytes");
+    private static void checkHeadSize(int length) throws HttpException {
+        if (length > MAX_HEAD_BYTES) {
+            throw new HttpException(431, "headers of more than " + MAX_HEAD_BYTES + " bytes");
         }
     }
 
-    private String line() throws HttpException {
+    private String readLine() throws HttpException {
         for (int i = from; i + 1 < to; i++) {
-            if (bytes[i] == '\r' && bytes[i + 1] == '\n') {
-                String line = new String(bytes, from, i - from, StandardCharsets.ISO_8859_1);
+            if (buffer[i] == '\r' && buffer[i + 1] == '\n') {
+                String line = new String(buffer, from, i - from, StandardCharsets.ISO_8859_1);
                 from = i + 2;
                 return line;
             }
         }
-        if (to - from > MAX_LINE) {
-            throw new HttpException(400, "a chunk header of more than " + MAX_LINE + " bytes");
+        if (to - from > MAX_CHUNK_LINE_BYTES) {
+            throw new HttpException(400, "a chunk header of more than " + MAX_CHUNK_LINE_BYTES + " bytes");
         }
         return null;
     }
 
-    private static long chunkSize(String line) throws HttpException {
+    private static long parseChunkSize(String line) throws HttpException {
         int end = line.indexOf(';');
         String size = (end < 0 ? line : line.substring(0, end)).trim();
         if (size.isEmpty() || size.length() > 8 || !size.chars().allMatch(c -> Character.digit(c, 16) >= 0)) {
@@ -219,68 +219,69 @@
         return Long.parseLong(size, 16);
     }
 
-    private void limitBody() throws HttpException {
-        if (body > maxBody) {
-            throw new HttpException(413, "a body of more than " + maxBody + " bytes");
+    private void checkBodySize() throws HttpException {
+        if (bodyBytes > maxBodyBytes) {
+            throw new HttpException(413, "a body of more than " + maxBodyBytes + " bytes");
         }
     }
 
     private void parseHead(String text) throws HttpException {
         int end = text.indexOf("\r\n");
-        startLine(text.substring(0, end));
+        parseStartLine(text.substring(0, end));
         Map<String, String> headers = new HashMap<>();
         for (int from = end + 2; from + 2 < text.length(); from = end + 2) {
             end = text.indexOf("\r\n", from);
-            header(text, from, end, headers);
+            parseHeader(text, from, end, headers);
         }
         head = new HttpHead(methodOrVersion, targetOrStatus, versionOrReason, headers, repeated);
         repeated = Set.of();
-        frame();
+        determineFraming();
     }
 
-    private void startLine(String line) throws HttpException {
+    private void parseStartLine(String line) throws HttpException {
         checkText(line, 0, line.length());
-        int one = line.indexOf(' ');
-        int two = line.indexOf(' ', one + 1);
-        methodOrVersion = one < 0 ? line : line.substring(0, one);
-        targetOrStatus = one < 0 ? "" : line.substring(one + 1, two < 0 ? line.length() : two);
-        versionOrReason = two < 0 ? "" : line.substring(two + 1);
-        String version = answers ? methodOrVersion : versionOrReason;
+        int firstSpace = line.indexOf(' ');
+        int secondSpace = line.indexOf(' ', firstSpace + 1);
+        methodOrVersion = firstSpace < 0 ? line : line.substring(0, firstSpace);
+        targetOrStatus =
+                firstSpace < 0 ? "" : line.substring(firstSpace + 1, secondSpace < 0 ? line.length() : secondSpace);
+        versionOrReason = secondSpace < 0 ? "" : line.substring(secondSpace + 1);
+        String version = responses ? methodOrVersion : versionOrReason;
         if (!version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
             throw new HttpException(400, "not an HTTP/1.1 message");
         }
-        boolean readable = answers
-                ? digits(targetOrStatus, 3, 3) && targetOrStatus.charAt(0) >= '1' && targetOrStatus.charAt(0) <= '5'
-                : token(methodOrVersion, 0, methodOrVersion.length())
+        boolean readable = responses
+                ? isDigits(targetOrStatus, 3, 3) && targetOrStatus.charAt(0) >= '1' && targetOrStatus.charAt(0) <= '5'
+                : isToken(methodOrVersion, 0, methodOrVersion.length())
                         && (targetOrStatus.startsWith("/") || targetOrStatus.equals("*"));
         if (!readable) {
-            throw new HttpException(400, "an unreadable " + (answers ? "status" : "target"));
+            throw new HttpException(400, "an unreadable " + (responses ? "status" : "target"));
         }
     }
 
-    private void header(String text, int from, int end, Map<String, String> headers) throws HttpException {
+    private void parseHeader(String text, int from, int end, Map<String, String> headers) throws HttpException {
         int colon = text.indexOf(':', from);
-        // Danger: a name that another program would read otherwise, say one with a blank before its colon,
-        // can hide how long the body is, and a second request in it.
-        if (colon < 0 || colon > end || !token(text, from, colon)) {
+        // A name that other implementations read differently, such as one with a space before the colon, could
+        // hide the length of the body and smuggle a second request in it.
+        if (colon < 0 || colon > end || !isToken(text, from, colon)) {
             throw new HttpException(400, "an unreadable header");
         }
         checkText(text, colon + 1, end);
         String name = text.substring(from, colon).toLowerCase(Locale.ROOT);
         String value = text.substring(colon + 1, end).trim();
-        String before = headers.put(name, value);
-        if (before != null && name.equals("content-length") && !before.equals(value)) {
+        String previous = headers.put(name, value);
+        if (previous != null && name.equals("content-length") && !previous.equals(value)) {
             throw new HttpException(400, "two different lengths");
-        } else if (before != null && !answers && SINGLE.contains(name)) {
+        } else if (previous != null && !responses && NON_REPEATABLE_HEADERS.contains(name)) {
             throw new HttpException(400, "header " + name + " comes twice");
-        } else if (before != null) {
-            headers.put(name, name.equals("content-length") ? value : before + ", " + value);
+        } else if (previous != null) {
+            headers.put(name, name.equals("content-length") ? value : previous + ", " + value);
             repeated = repeated.isEmpty() ? new HashSet<>() : repeated;
             repeated.add(name);
         }
     }
 
-    /** Danger: values are passed on to workers, where a lone line end would start a header of its own. */
+    /** Rejects control characters: values are forwarded to workers, where a lone line end would start a new header. */
     private static void checkText(String text, int from, int end) throws HttpException {
         for (int i = from; i < end; i++) {
             char c = text.charAt(i);
@@ -290,7 +291,7 @@
         }
     }
 
-    private static boolean token(String text, int from, int end) {
+    private static boolean isToken(String text, int from, int end) {
         for (int i = from; i < end; i++) {
             char c = text.charAt(i);
             boolean letter = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9';
@@ -301,17 +302,17 @@
         return from < end;
     }
 
-    private static boolean digits(String text, int least, int most) {
+    private static boolean isDigits(String text, int minLength, int maxLength) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) < '0' || text.charAt(i) > '9') {
                 return false;
             }
         }
-        return text.length() >= least && text.length() <= most;
+        return text.length() >= minLength && text.length() <= maxLength;
     }
 
-    /** How the body of the message is delimited. */
-    private void frame() throws HttpException {
+    /** Determines how the body of the message is delimited. */
+    private void determineFraming() throws HttpException {
         String coding = head.header("transfer-encoding");
         String length = head.header("content-length");
         if (coding != null && length != null) {
@@ -321,15 +322,15 @@
         } else if (coding != null) {
             state = State.CHUNK_SIZE;
         } else if (length != null) {
-            if (!digits(length, 1, 10)) {
+            if (!isDigits(length, 1, 10)) {
                 throw new HttpException(400, "an unreadable length");
             }
-            left = Long.parseLong(length);
-            body = left;
-            limitBody();
+            remaining = Long.parseLong(length);
+            bodyBytes = remaining;
+            checkBodySize();
             state = State.LENGTH;
-        } else if (answers && head.status() >= 200 && head.status() != 204 && head.status() != 304) {
-            left = Long.MAX_VALUE;
+        } else if (responses && head.status() >= 200 && head.status() != 204 && head.status() != 304) {
+            remaining = Long.MAX_VALUE;
             state = State.UNTIL_CLOSE;
         } else {
             state = State.END;
--- a/src/main/java/gorserill/protocol/http/HttpRequest.java
+++ b/src/main/java/gorserill/protocol/http/HttpRequest.java
@@ -1,4 +1,8 @@
 package gorserill.protocol.http;
 
-/** A whole request; {@code arrivedMicros} is the time of its last byte. */
+/**
+ * A complete HTTP request.
+ *
+ * @param arrivedMicros arrival time of the last byte, in microseconds of the loop's clock
+ */
 public record HttpRequest(HttpHead head, byte[] body, long arrivedMicros) {}
--- a/src/main/java/gorserill/protocol/http/JobEvent.java
+++ b/src/main/java/gorserill/protocol/http/JobEvent.java
@@ -9,18 +9,18 @@
 import java.util.Arrays;
 
 /**
- * A line of a worker's answer.
+ * An event line in a worker's response, a JSON object.
  *
- * @param id of the request that it is about; null where not told
- * @param state started, running, done, failed, returned or lost
- * @param result the text of what was done, or its JSON where it is not a text; null where there is none
- * @param load null where there is none
+ * @param id id of the request; null if absent
+ * @param state one of started, running, done, failed, returned and lost
+ * @param result a JSON string's text, or the JSON text of any other value; null if absent
+ * @param load the worker's load; null if absent
  */
 record JobEvent(String id, String state, byte[] result, Load load) {
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** @param reports the names of the report's values for free slots and free memory */
-    static JobEvent parse(byte[] line, LoadFieldNames reports) throws IOException {
+    /** @param fieldNames names of the fields for free slots and free memory in the load report */
+    static JobEvent parse(byte[] line, LoadFieldNames fieldNames) throws IOException {
         String id = null;
         String state = null;
         byte[] result = null;
@@ -44,7 +44,7 @@
                     result = Arrays.copyOfRange(
                             line, from, (int) json.currentLocation().getByteOffset());
                 } else if (name.equals("load") && value == JsonToken.START_OBJECT) {
-                    load = parseLoad(json, reports);
+                    load = parseLoad(json, fieldNames);
                 } else {
                     json.skipChildren();
                 }
@@ -56,16 +56,16 @@
         return new JobEvent(id, state, result, load);
     }
 
-    /** A report whose opening brace is the parser's present token. */
-    static Load parseLoad(JsonParser json, LoadFieldNames reports) throws IOException {
+    /** Parses a load report whose opening brace is the parser's current token. */
+    static Load parseLoad(JsonParser json, LoadFieldNames fieldNames) throws IOException {
         double slots = Double.NaN;
         double memory = Double.NaN;
         while (json.nextToken() != JsonToken.END_OBJECT) {
             String name = json.currentName();
             JsonToken value = json.nextToken();
-            if (value.isNumeric() && name.equals(reports.freeSlots())) {
+            if (value.isNumeric() && name.equals(fieldNames.freeSlots())) {
                 slots = json.getDoubleValue();
-            } else if (value.isNumeric() && name.equals(reports.freeMemory())) {
+            } else if (value.isNumeric() && name.equals(fieldNames.freeMemory())) {
                 memory = json.getDoubleValue();
             } else {
                 json.skipChildren();
@@ -74,20 +74,20 @@
         return new Load(slots, memory);
     }
 
-    /** A report as a header has it, {@code name=value,name=value}. */
-    static Load parseLoad(String header, LoadFieldNames reports) {
+    /** Parses a load report from a header, {@code name=value,name=value}. */
+    static Load parseLoad(String header, LoadFieldNames fieldNames) {
         double slots = Double.NaN;
         double memory = Double.NaN;
         for (String field : header == null ? new String[0] : header.split(",")) {
             String[] pair = field.split("=", 2);
             try {
-                if (pair[0].trim().equals(reports.freeSlots())) {
+                if (pair[0].trim().equals(fieldNames.freeSlots())) {
                     slots = Double.parseDouble(pair[1]);
-                } else if (pair[0].trim().equals(reports.freeMemory())) {
+                } else if (pair[0].trim().equals(fieldNames.freeMemory())) {
                     memory = Double.parseDouble(pair[1]);
                 }
             } catch (RuntimeException e) {
-                // A report is advice; one that can't be read counts as none.
+                // Load reports are advisory, so a malformed one is ignored.
                 return Load.NONE;
             }
         }
--- a/src/main/java/gorserill/protocol/http/JobHeaders.java
+++ b/src/main/java/gorserill/protocol/http/JobHeaders.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The figures in a request's headers. */
+/** The numeric parameters in a request's headers. */
 final class JobHeaders {
     private final HttpHead head;
     private final Map<String, String> values = new HashMap<>();
@@ -12,7 +12,7 @@
         this.head = head;
     }
 
-    /** @throws NumberFormatException where one is unreadable, here as in the other methods */
+    /** @throws NumberFormatException if a value is malformed; so do the other methods */
     static JobHeaders of(HttpHead head) {
         JobHeaders labels = new JobHeaders(head);
         for (String label : head.headers().getOrDefault("x-labels", "").split(",")) {
@@ -26,34 +26,34 @@
         return labels;
     }
 
-    /** How long the client waits, in microseconds; no longer than its class allows. */
+    /** Returns the time that the client will wait, in microseconds, limited to the given maximum. */
     long remainingMicros(long maxMicros) {
         String millis = head.header("x-remaining-ms");
         if (millis == null) {
             return maxMicros;
         }
-        // Danger: a number that overflows, or is below zero, would make a deadline of any kind.
-        int left = Integer.parseInt(millis);
-        if (left <= 0) {
+        // A value that overflows or is not positive would lead to an arbitrary deadline.
+        int remainingMillis = Integer.parseInt(millis);
+        if (remainingMillis <= 0) {
             throw new NumberFormatException("X-Remaining-Ms: " + millis);
         }
-        return Math.min(maxMicros, left * 1_000L);
+        return Math.min(maxMicros, remainingMillis * 1_000L);
     }
 
-    /** A guess at its work in microseconds, 0 for none. */
+    /** Returns the estimated processing time in microseconds, or 0 if there is none. */
     long estimateMicros() {
         String micros = head.header("x-estimate");
         if (micros == null) {
             return 0;
         }
-        // Danger: a guess that overflows, or is below zero, would be learned from.
+        // An estimate that overflows or is negative would distort the learned processing times.
         if (!micros.matches("[0-9]{1,12}")) {
             throw new NumberFormatException("X-Estimate: " + micros);
         }
         return Long.parseLong(micros);
     }
 
-    /** What the request is about, 0 for nothing. A key that is no hexadecimal number is hashed. */
+    /** Returns the entity key, or 0 if there is none. A key that is not a hexadecimal number is hashed. */
     long entityKey() {
         String entity = head.header("x-entity");
         if (entity == null || entity.isEmpty()) {
@@ -73,10 +73,10 @@
         return hash;
     }
 
-    /** A figure under its name or its other name. */
-    double number(String name, String otherName, double otherwise) {
-        String value = values.getOrDefault(name, values.get(otherName));
-        double number = value == null ? otherwise : Double.parseDouble(value);
+    /** Returns the number given under a name or its alias, or a default. */
+    double number(String name, String alias, double defaultValue) {
+        String value = values.getOrDefault(name, values.get(alias));
+        double number = value == null ? defaultValue : Double.parseDouble(value);
         if (!(number >= 0 && number < 1e6)) {
             throw new NumberFormatException(name + "=" + value);
         }
--- a/src/main/java/gorserill/protocol/http/LoadFieldNames.java
+++ b/src/main/java/gorserill/protocol/http/LoadFieldNames.java
@@ -1,4 +1,4 @@
 package gorserill.protocol.http;
 
-/** What load reports call free slots and free memory; null where they do not tell. */
+/** Names of the fields for free slots and free memory in load reports; null for a field that is not reported. */
 public record LoadFieldNames(String freeSlots, String freeMemory) {}
