--- a/src/main/java/gorserill/protocol/http/HttpCodec.java
+++ b/src/main/java/gorserill/protocol/http/HttpCodec.java
@@ -38,6 +38,7 @@
     private final Attribute<State> states =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("gorserill.http." + System.identityHashCode(this));
 
+    /** Decoding state of one connection. */
     private static final class State {
         final HttpParser parser;
         ByteArrayOutputStream body = new ByteArrayOutputStream();
--- a/src/main/java/gorserill/protocol/http/HttpFrontend.java
+++ b/src/main/java/gorserill/protocol/http/HttpFrontend.java
@@ -114,6 +114,7 @@
         return clients.isEmpty();
     }
 
+    /** A client's connection, which processes one request at a time and queues pipelined ones. */
     private final class ClientConnection implements ChannelListener, ResponseHandler {
         private final Deque<HttpRequest> pendingRequests = new ArrayDeque<>();
         private Channel channel;
@@ -195,8 +196,9 @@
         }
 
         /**
-         * Rejects a client that violates the protocol. The error is sent at once and replaces the response to a request
-         * that still runs, because nothing that follows on the connection can be parsed.
+         * Rejects a client that violates the protocol. The error is sent at once, in place of the response to a request
+         * that still runs: nothing that follows on the connection can be parsed, and only a client that violates the
+         * protocol can have a request open here.
          */
         private void rejectMalformed(int status, String why) {
             if (current != null) {
--- a/src/main/java/gorserill/protocol/http/HttpParser.java
+++ b/src/main/java/gorserill/protocol/http/HttpParser.java
@@ -47,7 +47,9 @@
     private final boolean responses;
     private final int maxBodyBytes;
     private byte[] buffer = new byte[512];
+    /** The unread input is {@code buffer[from]} to {@code buffer[to - 1]}. */
     private int from;
+
     private int to;
     private State state = State.HEAD;
     private HttpHead head;
--- a/src/main/java/gorserill/protocol/http/HttpWatch.java
+++ b/src/main/java/gorserill/protocol/http/HttpWatch.java
@@ -28,7 +28,10 @@
     /** Interval between attempts at a new address, during {@link #FAST_RETRY_MICROS}. */
     private static final long FAST_RETRY_INTERVAL_MICROS = 100_000;
 
-    /** Four seconds after the change this node counts as informed of what the new address reports. */
+    /**
+     * Duration of the fast retries after an address change. Discovery considers this node informed of what the new
+     * address reports 4 s after the change.
+     */
     private static final long FAST_RETRY_MICROS = 4_000_000;
     /** Maximum number of superseded calls that are still read; beyond it the oldest is closed. */
     private static final int MAX_SUPERSEDED = 6;
@@ -172,6 +175,7 @@
         }
     }
 
+    /** Handles the results of the current call and of superseded ones. */
     private final class CallListener implements DiscoveryCall.Listener {
         @Override
         public void opened(DiscoveryCall source) {
--- a/src/main/java/gorserill/protocol/http/HttpWorker.java
+++ b/src/main/java/gorserill/protocol/http/HttpWorker.java
@@ -34,8 +34,11 @@
     /**
      * Configuration and services shared by all workers of a node.
      *
+     * @param loadFields names of the fields in load reports
+     * @param connectTimeoutMicros time limit for opening a connection
      * @param idleTimeoutMicros time after which an idle connection is closed
      * @param warnings log of unexpected statuses and protocol errors in workers' responses
+     * @param idleLimit limit on the idle time after which a connection is still reused
      */
     public record Config(
             Loop loop,
