--- a/src/main/java/barrowflow/Choice.java
+++ b/src/main/java/barrowflow/Choice.java
@@ -11,74 +11,108 @@
 import java.util.SplittableRandom;
 
 /**
- * Every decision of a dispatcher; its interface, with all types, events and actions, is Dispatcher.java.
+ * Makes every decision of a dispatcher; its interface, with all types, events and actions, is
+ * Dispatcher.java.
  *
- * <p>A QA-NT market runs for each worker over this dispatcher's own pushes. Each period its slot-seconds are
- * filled with a quota for each good, the dearest by the slot-second first; a request met by no quota raises
- * the good's price there, leftover lowers it; a job goes to the able worker with quota and the shortest
- * learned time to its end, and what nobody takes is held for a period. A good is a class's jobs of a width.
+ * <p>The dispatcher runs a QA-NT market (query allocation by non-tâtonnement pricing) for each worker, over
+ * its own pushes. Each period it fills a worker's slot-time with quotas of commodities, those with the
+ * highest price per slot-second first. A request that finds no quota raises the commodity's price at that
+ * worker, and quota left over lowers it. A job goes to the eligible worker that has quota and the shortest
+ * expected completion time; a job that no worker takes is held until the next period. A commodity is the jobs
+ * of one class and one width in slots.
  */
 public final class Choice implements Dispatcher {
-    /** λ: a price moves by a tenth for each request unmet or job left over, within a span of the worth. */
+    /** λ: the relative change of a price for each request without quota and each job of quota left over. */
     private static final double PRICE_STEP = 0.1;
-
+    /** Highest price relative to a commodity's value; the lowest one is its inverse or less. */
     private static final double PRICE_SPAN = 16;
-    /** A period is this part of the shortest aim, so that waiting one costs little of any job's time. */
+    /**
+     * Periods in the shortest target time of any class, so that holding a job for a period costs little of
+     * its time.
+     */
     private static final int PERIODS_PER_TARGET = 8;
-    /** A start notice takes no longer than this many periods, until a quicker one is seen. */
+    /** Upper limit of the assumed shortest start delay, in periods, until a shorter one is observed. */
     private static final int MAX_START_DELAY_PERIODS = 4;
-    /** A prompt start takes so many periods more than the quickest one seen. */
+    /** A start counts as prompt up to this many periods after the shortest start delay. */
     private static final double START_SLACK_PERIODS = 1.5;
-    /** A start on a connection that must be opened first takes so many times as long as the quickest one. */
+    /** Start delay on a connection that has to be opened first, as a multiple of the shortest start delay. */
     private static final double CONNECT_DELAY_FACTOR = 3;
-    /** A crossing of zones counts as so many times its price in time, and is left out for a period. */
+    /**
+     * Weight of the price of a zone crossing in the expected completion time. Crossings are avoided for a
+     * job's first period.
+     */
     private static final double ZONE_CROSSING_FACTOR = 3;
-    /** An unsafe job that fails counts as so many times what it may take. */
+    /**
+     * Weight of an unsafe job's probability of failure at a worker, in multiples of the time in which it must
+     * be answered for full value.
+     */
     private static final double UNSAFE_FAILURE_FACTOR = 4;
-    /** How unsure it is what others have at a worker, in slots of one. */
+    /**
+     * Smoothing of the expected queue, because the load of other dispatchers is known only approximately: a
+     * variance, in slots, per slot of the worker.
+     */
     private static final double QUEUE_UNCERTAINTY_SLOTS = 4;
-    /** How long an own job waited at a worker counts less as time goes on, in microseconds. */
+    /** Time constant with which the last start delay at a worker loses its weight, microseconds. */
     private static final double START_DELAY_DECAY_MICROS = 2e6;
-    /** A prompt start adds this part of the even share, a queued one takes this part of the share. */
+    /** A prompt start increases the worker's share by this fraction of the even share. */
     private static final double SHARE_GROWTH = 0.25;
-
+    /** A delayed start or a rejection reduces the worker's share by this fraction. */
     private static final double SHARE_DECREASE = 0.2;
-    /** Even shares are a slot over this at least; many dispatchers trade with a part of the workers each. */
+    /**
+     * Even shares are at least one slot divided by this; with many dispatchers, each trades with a part of
+     * the workers.
+     */
     private static final double MAX_SHARES_PER_SLOT = 4;
-    /** A copy has to save this part of what its work is worth on average, as if it always ran in vain. */
+    /**
+     * A second attempt has to save at least this fraction of the mean value of the work it costs, as if that
+     * work were always wasted.
+     */
     private static final double HEDGE_PRICE = 0.5;
-    /** Standard deviations of chance kept below a cold worker's limit, and where others tell of theirs. */
+    /** Safety margin below a cold worker's overload limit, in standard deviations. */
     private static final double COLD_SIGMAS = 3;
-
+    /** The same margin where other dispatchers announce their load. */
     private static final double COLD_SIGMAS_WITH_PEERS = 1;
-    /** A cold worker of which others tell holds so many times what it can run at the most. */
+    /**
+     * Slots that a cold worker may hold, as a multiple of what it can run, where other dispatchers announce
+     * their load.
+     */
     private static final double COLD_OVERCOMMIT = 1.5;
-    /** A drawn job stands for this part of the window in which a cold worker can be pushed over. */
+    /** How long a drawn job reserves a cold worker's quota, as a fraction of the overload window. */
     private static final double COLD_QUOTA_WINDOW_FRACTION = 0.25;
-    /** Danger: a worker that is not there uses up the attempts of job after job; it is barred for longer. */
+    /**
+     * Back-off after a failed connection, in periods. It is longer than after other failures, because an
+     * absent worker uses up the attempts of job after job.
+     */
     private static final int CONNECT_FAILURE_PERIODS = 32;
-    /** A bar doubles up to so often. */
+    /** Maximum number of doublings of a worker's back-off. */
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
-    /** Danger: what discovery has to tell counts as told after some seconds; waits for it stay below 1 s. */
+    /**
+     * Maximum number of doublings of the back-off between list requests. Data from discovery counts as known
+     * a few seconds after a change, so the delays stay below 1 s.
+     */
     private static final int MAX_LIST_BACKOFF_DOUBLINGS = 1;
-
+    /** First delay before the worker list is requested again after a failure. */
     private static final long LIST_BACKOFF_MICROS = 250_000;
 
     private final Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
-    private final long period;
+    private final long periodMicros;
     private final double priceFloor;
     private final Commodity[] commodities;
     private final MarketState state;
     private final List<WorkerMarket> markets;
-    private final List<PendingJob> held = new ArrayList<>();
+    private final List<PendingJob> heldJobs = new ArrayList<>();
     private final List<JobAttempt> openAttempts = new ArrayList<>();
     private final long[] longestTimeLimit;
     private final TenantShares tenantShares;
-    private double hold;
+    /** Mean cost of a job in slot-microseconds, updated each period. */
+    private double meanJobCost;
+
     private Commodity lastRequested;
+    /** Fraction of the workers that this dispatcher trades with. */
     private double tradedFraction = 1;
+
     private final Gossip gossip;
     private final ProbeRateLimiter probeRateLimiter;
     private long nextPeriodAt;
@@ -93,32 +127,34 @@
         state = new MarketState(settings.coldStart());
         markets = state.markets;
         List<JobClass> classes = settings.classes();
-        long shortest = Long.MAX_VALUE;
+        long shortestTarget = Long.MAX_VALUE;
         commodities = new Commodity[classes.size() * MarketState.WIDTH_BANDS];
         for (int i = 0; i < commodities.length; i++) {
             commodities[i] = new Commodity(classes.get(i / MarketState.WIDTH_BANDS), i);
-            shortest = Math.min(shortest, commodities[i].jobClass.targetTime());
+            shortestTarget = Math.min(shortestTarget, commodities[i].jobClass.targetTime());
         }
         priceFloor = Math.max(1e-3, Math.min(settings.overShareValue(), 1 / PRICE_SPAN));
-        period = Math.max(1_000, shortest / PERIODS_PER_TARGET);
+        periodMicros = Math.max(1_000, shortestTarget / PERIODS_PER_TARGET);
         longestTimeLimit = new long[classes.size()];
         tenantShares = new TenantShares(settings.tenants(), settings.dispatchers());
-        state.fetchMicros = period;
+        state.fetchMicros = periodMicros;
         state.advanceClock(now);
-        LoadSources may = settings.loadSources();
-        gossip = !may.peers() ? null : new Gossip(settings.dispatchers(), may.peerPrice(), (int) random.nextLong());
-        probeRateLimiter = may.probes() && may.reportsOnlyByProbe()
-                ? new ProbeRateLimiter(settings.dispatchers(), may.probePrice())
+        LoadSources sources = settings.loadSources();
+        gossip = !sources.peers()
+                ? null
+                : new Gossip(settings.dispatchers(), sources.peerPrice(), (int) random.nextLong());
+        probeRateLimiter = sources.probes() && sources.reportsOnlyByProbe()
+                ? new ProbeRateLimiter(settings.dispatchers(), sources.probePrice())
                 : null;
-        // Danger: dispatchers whose periods align swing together, so the seed spreads their phase.
-        nextPeriodAt = now + 1 + random.nextLong(period);
+        // Dispatchers with aligned periods would oscillate together, so each starts at a random phase.
+        nextPeriodAt = now + 1 + random.nextLong(periodMicros);
         actions.timerAt(nextPeriodAt);
         if (settings.listOnDemand()) {
             actions.watchList();
         }
     }
 
-    // ---- a request arrives ----
+    // ---- arrival of a request ----
 
     @Override
     public void request(
@@ -130,73 +166,100 @@
             long timeLeft,
             double slots,
             double memory,
-            Effect atLeast,
-            long hint,
-            boolean doubtful) {
+            Effect minEffect,
+            long workHint,
+            boolean possibleRepeat) {
         state.advanceClock(now);
         if (jobClass < 0 || jobClass >= longestTimeLimit.length || state.jobs.containsKey(id)) {
             throw new IllegalArgumentException("request " + id + ": unknown class or id still held");
         }
-        double taken = Math.max(1, Math.max(slots, memory));
-        Commodity good = commodities[
-                jobClass * MarketState.WIDTH_BANDS + (taken <= 1 ? 0 : taken <= 2 ? 1 : taken <= 4 ? 2 : 3)];
-        lastRequested = good;
-        good.asked(taken, hint);
+        double units = Math.max(1, Math.max(slots, memory));
+        Commodity commodity = commodities[
+                jobClass * MarketState.WIDTH_BANDS + (units <= 1 ? 0 : units <= 2 ? 1 : units <= 4 ? 2 : 3)];
+        lastRequested = commodity;
+        commodity.recordRequest(units, workHint);
         longestTimeLimit[jobClass] = Math.max(longestTimeLimit[jobClass], timeLeft);
-        long age = timeLeft < longestTimeLimit[jobClass] ? Math.max(0, good.jobClass.deadline() - timeLeft) : 0;
-        // Danger: where nothing marks repeats, late ones would crowd out those that can be in time.
-        boolean overShare = !tenantShares.tryAcquire(tenant, age < period && !doubtful) || doubtful;
-        double worth = good.jobClass.value() * (overShare ? settings.overShareValue() : 1);
-        double size = good.sizeFactor(hint);
-        long bestBy = now
+        long age = timeLeft < longestTimeLimit[jobClass] ? Math.max(0, commodity.jobClass.deadline() - timeLeft) : 0;
+        // Where repeats are not marked as such, late ones would crowd out jobs that can still be answered in
+        // time.
+        boolean overShare = !tenantShares.tryAcquire(tenant, age < periodMicros && !possibleRepeat) || possibleRepeat;
+        double value = commodity.jobClass.value() * (overShare ? settings.overShareValue() : 1);
+        double sizeFactor = commodity.sizeFactor(workHint);
+        long latestFullValueStart = now
                 - age
-                + (long) (good.jobClass.targetTime()
-                                + Math.max(0, good.jobClass.runTimeFactor() - 1) * good.runMicros * size)
+                + (long) (commodity.jobClass.targetTime()
+                                + Math.max(0, commodity.jobClass.runTimeFactor() - 1)
+                                        * commodity.runMicros
+                                        * sizeFactor)
                         / 2;
         PendingJob job = new PendingJob(
-                id, now, good, key, taken, memory, worth, overShare, bestBy, now + timeLeft, atLeast, hint, size);
+                id,
+                now,
+                commodity,
+                key,
+                units,
+                memory,
+                value,
+                overShare,
+                latestFullValueStart,
+                now + timeLeft,
+                minEffect,
+                workHint,
+                sizeFactor);
         state.jobs.put(id, job);
         state.countKey(key);
         if (overShare || now > job.latestFullValueStart || unservable(job, now) || !offer(job, now)) {
-            hold(job, now);
+            holdOrGiveUp(job, now);
         }
     }
 
-    /** Offers a job to the market: true if a worker with quota took it. */
+    /** Offers a job to the markets; true if a worker with quota took it. */
     private boolean offer(PendingJob job, long now) {
-        Commodity good = job.commodity;
-        boolean home = settings.crossZonePrice() > 0 && now - job.arrivedAt < period;
-        double most =
-                job.valueAt(now) < good.jobClass.value() ? job.valueAt(now) / good.jobClass.value() : Double.MAX_VALUE;
-        // Danger: worthless jobs fill the slots that worthy ones need; they buy only where prices are low.
+        Commodity commodity = job.commodity;
+        boolean preferOwnZone = settings.crossZonePrice() > 0 && now - job.arrivedAt < periodMicros;
+        double maxPrice = job.valueAt(now) < commodity.jobClass.value()
+                ? job.valueAt(now) / commodity.jobClass.value()
+                : Double.MAX_VALUE;
+        // Jobs of reduced value buy only where prices are low, or they would fill the slots that jobs of full
+        // value need.
         WorkerMarket best = null;
-        double shortest = 0;
-        for (WorkerMarket s : markets) {
-            boolean crosses = s.worker.zone() != settings.zone();
-            boolean shut = crosses && home && !s.needsTrialJob
-                    || peersHeard() && isCold(s, now) && !coldWorkerHasRoom(s, job, now);
-            if (shut || !mayRun(s, job, now) || reportedFull(s, job, now) || s.price[good.index] > most) {
+        double lowestCost = 0;
+        for (WorkerMarket market : markets) {
+            boolean crosses = market.worker.zone() != settings.zone();
+            boolean excluded = crosses && preferOwnZone && !market.needsTrialJob
+                    || peersHeard() && isCold(market, now) && !coldWorkerHasRoom(market, job, now);
+            if (excluded
+                    || !mayRun(market, job, now)
+                    || reportedFull(market, job, now)
+                    || market.price[commodity.index] > maxPrice) {
                 continue;
             }
-            if (s.quota[good.index] <= 0) {
-                s.adjustPrice(good, 1 + PRICE_STEP, priceFloor, PRICE_SPAN);
-                // Danger: shares are parts of a slot: who keeps a key seldom has quota; it sells on credit.
-                boolean keeps = job.key != 0 && s.runSamples != 0 && state.missProbability(s, job.key) <= 0.5;
-                if (!keeps || !acceptsJobs(s, now) || isCold(s, now) || s.credit < -s.cost(good)) {
+            if (market.quota[commodity.index] <= 0) {
+                market.adjustPrice(commodity, 1 + PRICE_STEP, priceFloor, PRICE_SPAN);
+                // Shares are fractions of a slot, so a worker that has the key cached seldom has quota left; it
+                // sells on credit.
+                boolean cachesKey =
+                        job.key != 0 && market.runSamples != 0 && state.missProbability(market, job.key) <= 0.5;
+                if (!cachesKey
+                        || !acceptsJobs(market, now)
+                        || isCold(market, now)
+                        || market.credit < -market.cost(commodity)) {
                     continue;
                 }
             }
-            // Danger: a worker that fails what it starts has short queues, and would draw job after job.
-            // What must not run twice is lost with the first failure, however soon that comes.
-            double run = (expectedRun(s, job) + expectedWait(s, job, now)) * (1 + s.recentErrors)
-                    + (job.effect == Effect.UNSAFE ? UNSAFE_FAILURE_FACTOR * s.errorRate * good.fullValueMicros() : 0)
-                    + (crosses ? ZONE_CROSSING_FACTOR * settings.crossZonePrice() * good.fullValueMicros() : 0);
-            if (s.needsTrialJob && job.effect == Effect.SAFE) {
-                run = 0;
+            // A worker that fails jobs quickly has short queues and would attract more of them. An unsafe job is
+            // lost with its first failure, however fast the worker fails it.
+            double cost = (expectedRun(market, job) + expectedWait(market, job, now)) * (1 + market.recentErrors)
+                    + (job.effect == Effect.UNSAFE
+                            ? UNSAFE_FAILURE_FACTOR * market.errorRate * commodity.fullValueMicros()
+                            : 0)
+                    + (crosses ? ZONE_CROSSING_FACTOR * settings.crossZonePrice() * commodity.fullValueMicros() : 0);
+            if (market.needsTrialJob && job.effect == Effect.SAFE) {
+                cost = 0;
             }
-            if (best == null || run < shortest || run == shortest && s.tieBreak < best.tieBreak) {
-                best = s;
-                shortest = run;
+            if (best == null || cost < lowestCost || cost == lowestCost && market.tieBreak < best.tieBreak) {
+                best = market;
+                lowestCost = cost;
             }
         }
         if (best != null) {
@@ -206,38 +269,39 @@
     }
 
     /**
-     * How long a job is likely to wait there, by what reports tell of others' jobs, by own jobs out there and
-     * by how long the last one waited. Danger: of many dispatchers each sees too few jobs for shares to tell
-     * of a queue in time; by run time alone all would fill the quickest workers and leave the others idle.
+     * Expected queueing time of a job at a worker, from the reported load of other dispatchers, own open jobs
+     * there and the last observed start delay. With many dispatchers, each sees too few jobs for its shares
+     * to react to a queue in time; ranking workers by run time alone would overload the fastest ones and
+     * leave the others idle.
      */
-    private double expectedWait(WorkerMarket s, PendingJob job, long now) {
-        double slots = state.slotCapacity(s) * state.warmUpFraction(s, now);
-        double beyond = job.slots + s.peerSlots + s.outstandingSlots - slots;
-        return hold
-                        * s.runTimeRatio
+    private double expectedWait(WorkerMarket market, PendingJob job, long now) {
+        double slots = state.slotCapacity(market) * state.warmUpFraction(market, now);
+        double excess = job.slots + market.peerSlots + market.outstandingSlots - slots;
+        return meanJobCost
+                        * market.runTimeRatio
                         / slots
-                        * (beyond + Math.sqrt(beyond * beyond + QUEUE_UNCERTAINTY_SLOTS * slots))
+                        * (excess + Math.sqrt(excess * excess + QUEUE_UNCERTAINTY_SLOTS * slots))
                         / 2
-                + s.lastStartDelay * Math.exp((s.lastStartDelayAt - now) / START_DELAY_DECAY_MICROS);
+                + market.lastStartDelay * Math.exp((market.lastStartDelayAt - now) / START_DELAY_DECAY_MICROS);
     }
 
-    private double expectedRun(WorkerMarket s, PendingJob job) {
-        return job.commodity.runMicros * job.sizeFactor * s.runTimeRatio
-                + state.fetchMicros * state.missProbability(s, job.key);
+    private double expectedRun(WorkerMarket market, PendingJob job) {
+        return job.commodity.runMicros * job.sizeFactor * market.runTimeRatio
+                + state.fetchMicros * state.missProbability(market, job.key);
     }
 
-    private double evenShare(WorkerMarket s) {
-        return state.slotCapacity(s) / settings.dispatchers() / tradedFraction;
+    private double evenShare(WorkerMarket market) {
+        return state.slotCapacity(market) / settings.dispatchers() / tradedFraction;
     }
 
-    private static boolean acceptsJobs(WorkerMarket s, long now) {
-        return s.state == WorkerState.READY && !s.queueing && now >= s.backoffUntil;
+    private static boolean acceptsJobs(WorkerMarket market, long now) {
+        return market.state == WorkerState.READY && !market.queueing && now >= market.backoffUntil;
     }
 
     @Override
     public boolean avoids(long now, long worker) {
-        WorkerMarket s = state.market(worker);
-        return s == null || !acceptsJobs(s, now);
+        WorkerMarket market = state.market(worker);
+        return market == null || !acceptsJobs(market, now);
     }
 
     @Override
@@ -250,89 +314,105 @@
         state.importLearned(learned, commodities, now);
     }
 
-    private boolean isCold(WorkerMarket s, long now) {
-        return state.warmUpFraction(s, now) < 1;
+    private boolean isCold(WorkerMarket market, long now) {
+        return state.warmUpFraction(market, now) < 1;
     }
 
-    /** No room by its report, less what was sent since; believed for as long as a slot takes to free. */
-    private boolean reportedFull(WorkerMarket s, PendingJob job, long now) {
-        return (s.freeSlots < 0.5 || s.freeMemory < job.memory)
-                && now - s.reportedAt < job.commodity.runMicros * s.runTimeRatio / state.slotCapacity(s);
+    /**
+     * The last load report, less what was sent since, leaves no room for the job. The report is trusted for
+     * as long as a slot takes to become free.
+     */
+    private boolean reportedFull(WorkerMarket market, PendingJob job, long now) {
+        return (market.freeSlots < 0.5 || market.freeMemory < job.memory)
+                && now - market.reportedAt < job.commodity.runMicros * market.runTimeRatio / state.slotCapacity(market);
     }
 
     /**
-     * A cold worker may hold a little more than it can run, up to half of what would push it over with the
-     * jobs that it ends meanwhile; the other half is for those not heard of yet.
+     * Whether a cold worker can hold another job. It may hold slightly more than it can run, up to half of
+     * what would overload it, counting the jobs that it completes meanwhile; the other half is left for
+     * dispatchers whose announcements have not arrived yet.
      */
-    private boolean coldWorkerHasRoom(WorkerMarket s, PendingJob job, long now) {
+    private boolean coldWorkerHasRoom(WorkerMarket market, PendingJob job, long now) {
         Cold cold = settings.coldStart();
-        double more = (cold.overloadFactor() - 1) * cold.overloadWindow() / 2 / (hold * s.runTimeRatio);
-        double most = state.slotCapacity(s) * state.warmUpFraction(s, now) * Math.min(COLD_OVERCOMMIT, more);
-        return s.peerSlots + s.outstandingSlots <= 0 || job.slots + s.peerSlots + s.outstandingSlots <= most;
-    }
-
-    private boolean mayRun(WorkerMarket s, PendingJob job, long now) {
-        JobClass of = job.commodity.jobClass;
-        boolean otherKind = of.machineKind() >= 0 && s.worker.kind() != of.machineKind();
-        if (s.state != WorkerState.READY || otherKind || job.wasSentTo(s)) {
+        double overcommit =
+                (cold.overloadFactor() - 1) * cold.overloadWindow() / 2 / (meanJobCost * market.runTimeRatio);
+        double maxSlots =
+                state.slotCapacity(market) * state.warmUpFraction(market, now) * Math.min(COLD_OVERCOMMIT, overcommit);
+        return market.peerSlots + market.outstandingSlots <= 0
+                || job.slots + market.peerSlots + market.outstandingSlots <= maxSlots;
+    }
+
+    private boolean mayRun(WorkerMarket market, PendingJob job, long now) {
+        JobClass jobClass = job.commodity.jobClass;
+        boolean otherKind = jobClass.machineKind() >= 0 && market.worker.kind() != jobClass.machineKind();
+        if (market.state != WorkerState.READY || otherKind || job.wasSentTo(market)) {
             return false;
         }
-        // Danger: a repeat of a keyed job is dropped only by its group, and only for so long.
-        JobAttempt first = job.firstPossibleRun();
-        boolean inWindow = first != null && now + period < first.sentAt + of.dedupWindow();
-        boolean dropped = inWindow && job.effect == Effect.KEYED && sameGroup(of, s.worker, first.market.worker);
-        return job.effect == Effect.SAFE || first == null || dropped;
+        // A repeat of a keyed job is deduplicated only within its group, and only for the length of the window.
+        JobAttempt firstRun = job.firstPossibleRun();
+        boolean inWindow = firstRun != null && now + periodMicros < firstRun.sentAt + jobClass.dedupWindow();
+        boolean deduplicated =
+                inWindow && job.effect == Effect.KEYED && sameGroup(jobClass, market.worker, firstRun.market.worker);
+        return job.effect == Effect.SAFE || firstRun == null || deduplicated;
     }
 
-    private static boolean sameGroup(JobClass of, Worker a, Worker b) {
-        return of.group() == Group.ALL || a.zone() == b.zone() && (of.group() == Group.ZONE || a.cell() == b.cell());
+    private static boolean sameGroup(JobClass jobClass, Worker a, Worker b) {
+        return jobClass.group() == Group.ALL
+                || a.zone() == b.zone() && (jobClass.group() == Group.ZONE || a.cell() == b.cell());
     }
 
-    private void send(PendingJob job, WorkerMarket s, long now) {
-        JobAttempt a = new JobAttempt(job, s, now, expectedRun(s, job), state.missProbability(s, job.key));
+    private void send(PendingJob job, WorkerMarket market, long now) {
+        JobAttempt a =
+                new JobAttempt(job, market, now, expectedRun(market, job), state.missProbability(market, job.key));
         openAttempts.add(a);
-        s.consumeQuota(job.commodity, isCold(s, now));
+        market.consumeQuota(job.commodity, isCold(market, now));
         state.recordSent(a);
-        actions.send(job.id, s.worker.id());
+        actions.send(job.id, market.worker.id());
     }
 
-    // ---- what nobody took waits a period ----
+    // ---- jobs held for the next period ----
 
-    private void hold(PendingJob job, long now) {
+    private void holdOrGiveUp(PendingJob job, long now) {
         if (unservable(job, now)) {
             giveUp(job);
         } else {
             job.held = true;
-            held.add(job);
+            heldJobs.add(job);
         }
     }
 
-    /** Danger: holding past the time in which the answer is worth something fills slots with late jobs. */
+    /**
+     * Whether a job can't be answered with any value any more. Holding it longer would fill slots with late
+     * jobs.
+     */
     private boolean unservable(PendingJob job, long now) {
         boolean late =
                 now > job.latestFullValueStart && (job.overShare || job.commodity.jobClass.lateValueFactor() <= 0);
-        boolean spent = job.deadline <= now + 2 * period || job.attempts.size() >= settings.maxAttempts();
-        return late || spent || job.effect == Effect.UNSAFE && job.firstPossibleRun() != null;
+        boolean exhausted = job.deadline <= now + 2 * periodMicros || job.attempts.size() >= settings.maxAttempts();
+        return late || exhausted || job.effect == Effect.UNSAFE && job.firstPossibleRun() != null;
     }
 
-    /** The final answer to a job that won't be served: refused where that is lawful, else failed. */
+    /**
+     * Sends the final answer to a job that won't be served: a refusal if it has certainly not run or can
+     * safely be sent again, else a failure.
+     */
     private void giveUp(PendingJob job) {
-        boolean ran = job.effect != Effect.SAFE && job.firstPossibleRun() != null;
+        boolean mayHaveRun = job.effect != Effect.SAFE && job.firstPossibleRun() != null;
         finish(job, false);
-        if (!ran || job.effect == Effect.KEYED && job.commodity.jobClass.group() == Group.ALL) {
+        if (!mayHaveRun || job.effect == Effect.KEYED && job.commodity.jobClass.group() == Group.ALL) {
             actions.refuse(job.id, settings.maxRetryAfter());
         } else {
             actions.fail(job.id);
         }
     }
 
-    /** The job is over; attempts still out are called off, and keep it known until they end. */
-    private void finish(PendingJob job, boolean inTime) {
-        boolean first = !job.finished;
-        state.recordService(job, settings.objective(), inTime);
+    /** Finishes a job and cancels its open attempts. The job stays registered until those have ended. */
+    private void finish(PendingJob job, boolean servedInTime) {
+        boolean firstTime = !job.finished;
+        state.recordService(job, settings.objective(), servedInTime);
         job.finished = true;
         job.held = false;
-        for (int i = 0; i < job.attempts.size() && first && settings.mayCancel(); i++) {
+        for (int i = 0; i < job.attempts.size() && firstTime && settings.mayCancel(); i++) {
             if (!job.attempts.get(i).ended) {
                 actions.cancel(job.id, i);
             }
@@ -342,7 +422,7 @@
         }
     }
 
-    // ---- a period ends ----
+    // ---- end of a period ----
 
     @Override
     public void timer(long now) {
@@ -350,20 +430,20 @@
         if (now < nextPeriodAt) {
             return;
         }
-        nextPeriodAt = Math.max(nextPeriodAt + period, now + 1);
+        nextPeriodAt = Math.max(nextPeriodAt + periodMicros, now + 1);
         state.updateValues(commodities, settings.objective(), now);
-        held.forEach(job -> job.bid = job.bid(settings.objective(), now));
-        held.sort((a, b) -> Double.compare(b.bid, a.bid));
+        heldJobs.forEach(job -> job.bid = job.bid(settings.objective(), now));
+        heldJobs.sort((a, b) -> Double.compare(b.bid, a.bid));
         offerHeld(now, true);
         state.expireAbandonedAttempts(now);
         checkStartDelays(now);
-        tenantShares.refill(period, gossip);
+        tenantShares.refill(periodMicros, gossip);
         normalizeRunTimes(now);
-        gossip(now);
+        exchangeLoad(now);
         sendProbes(now);
-        markets.forEach(s -> startPeriod(s, now));
+        markets.forEach(market -> startPeriod(market, now));
         offerHeld(now, false);
-        held.removeIf(j -> !j.held);
+        heldJobs.removeIf(job -> !job.held);
         if (now >= retryListAt) {
             retryListAt = Long.MAX_VALUE;
             actions.watchList();
@@ -375,11 +455,11 @@
         return gossip != null && gossip.peerCount() > 0;
     }
 
-    /** Tells the others what is out, and counts what they have out where they were heard. */
-    private void gossip(long now) {
+    /** Announces own load to the other dispatchers, and takes over the load that they announced. */
+    private void exchangeLoad(long now) {
         if (gossip != null) {
             gossip.expireSilentPeers(now);
-            if (gossip.isMessageDue(now, tenantShares.jobsPerSecond(), hold)) {
+            if (gossip.isMessageDue(now, tenantShares.jobsPerSecond(), meanJobCost)) {
                 actions.tell(state.peerMessage(gossip, tenantShares.jobsPerSecondByTenant()));
             }
             state.applyPeerLoad(gossip);
@@ -387,25 +467,26 @@
     }
 
     /**
-     * Asks those that were not asked for longest. What others tell of their jobs says more, for less; but how
-     * many slots a kind of worker has they do not tell, and who has just begun would offer one of each.
+     * Probes the workers that were not probed for the longest time. Announcements of other dispatchers say
+     * more about load at a lower price, but not how many slots a kind of worker has; a dispatcher that has
+     * just started would assume one slot each.
      */
     private void sendProbes(long now) {
-        int due = probeRateLimiter == null
+        int count = probeRateLimiter == null
                 ? 0
                 : probeRateLimiter.takeDueProbes(now, markets.size(), tenantShares.jobsPerSecond());
-        for (WorkerMarket s : state.leastRecentlyProbed(due, peersHeard())) {
-            s.probedAt = now;
-            actions.probe(s.worker.id());
+        for (WorkerMarket market : state.leastRecentlyProbed(count, peersHeard())) {
+            market.probedAt = now;
+            actions.probe(market.worker.id());
         }
     }
 
     @Override
     public void probed(long now, long worker, double freeSlots, double freeMemory) {
         state.advanceClock(now);
-        WorkerMarket s = state.market(worker);
-        if (s != null) {
-            state.recordLoadReport(s, now, freeSlots, freeMemory);
+        WorkerMarket market = state.market(worker);
+        if (market != null) {
+            state.recordLoadReport(market, now, freeSlots, freeMemory);
         }
     }
 
@@ -417,26 +498,30 @@
         }
     }
 
-    /** Jobs over their tenant's share, or late, take only what a period leaves over. */
-    private void offerHeld(long now, boolean leftover) {
-        for (int i = 0; i < held.size(); i++) {
-            PendingJob job = held.get(i);
+    /**
+     * Offers held jobs again. Jobs that are late or over their tenant's share get only the quota left over
+     * from the last period.
+     */
+    private void offerHeld(long now, boolean lowPriority) {
+        for (int i = 0; i < heldJobs.size(); i++) {
+            PendingJob job = heldJobs.get(i);
             if (job.held && unservable(job, now)) {
                 giveUp(job);
-            } else if (job.held && leftover == (job.overShare || now > job.latestFullValueStart)) {
+            } else if (job.held && lowPriority == (job.overShare || now > job.latestFullValueStart)) {
                 offer(job, now);
             }
         }
     }
 
     /**
-     * Finds where an own job waits, and offers a copy where its class bears one; the first to start goes on.
-     * Danger: where a cancel stops no work, each copy is a run for nothing, and nothing tells where. So a
-     * copy has to bid by the slot-second, as jobs do, what it is likely to save.
+     * Detects own jobs that have not started promptly, and offers a second attempt (hedge) where the class
+     * allows it; the attempt that starts first continues. Where a cancellation doesn't stop the work, every
+     * second attempt costs a full run, and the dispatcher can't detect this. The value that the hedge is
+     * expected to save must therefore pay for its slot-time, as with any job.
      */
     private void checkStartDelays(long now) {
-        double leastBid = HEDGE_PRICE * state.meanValue(commodities) / hold;
-        markets.forEach(s -> s.queueing = false);
+        double minBid = HEDGE_PRICE * state.meanValue(commodities) / meanJobCost;
+        markets.forEach(market -> market.queueing = false);
         for (int i = 0; i < openAttempts.size(); i++) {
             JobAttempt a = openAttempts.get(i);
             if (a.startedAt == 0 && now - a.sentAt > promptStartLimit(a)) {
@@ -444,13 +529,13 @@
                 a.market.lastStartDelay = Math.max(a.market.lastStartDelay, now - a.sentAt);
                 a.market.lastStartDelayAt = now;
                 markQueued(a);
-                boolean bears = settings.hedging()
+                boolean mayHedge = settings.hedging()
                         && a.job.openAttempts == 1
                         && !a.job.finished
                         && now <= a.job.latestFullValueStart;
-                if (bears
+                if (mayHedge
                         && a.job.attempts.size() + 1 < settings.maxAttempts()
-                        && state.hedgeBenefit(a, now) * a.job.bid(settings.objective(), now) > leastBid) {
+                        && state.hedgeBenefit(a, now) * a.job.bid(settings.objective(), now) > minBid) {
                     offer(a.job, now);
                 }
             }
@@ -458,100 +543,108 @@
     }
 
     /**
-     * How long a prompt start takes, or without start notices a prompt job: 1.5 learned run times. Danger: a
-     * connection that must be opened first takes further ways there and back, and says nothing of a queue.
+     * Longest delay of a prompt start; without start notices, of a prompt answer: 1.5 expected run times. A
+     * connection that must be opened first adds round trips, which don't indicate a queue.
      */
     private double promptStartLimit(JobAttempt a) {
-        double further =
-                Math.min((CONNECT_DELAY_FACTOR - 1) * a.market.minStartDelay, MAX_START_DELAY_PERIODS * period);
-        double usual = settings.startNotices() ? START_SLACK_PERIODS * period : 1.5 * a.expectedMicros;
-        return a.market.minStartDelay + (a.opening ? further : 0) + usual;
+        double connectDelay =
+                Math.min((CONNECT_DELAY_FACTOR - 1) * a.market.minStartDelay, MAX_START_DELAY_PERIODS * periodMicros);
+        double allowance = settings.startNotices() ? START_SLACK_PERIODS * periodMicros : 1.5 * a.expectedMicros;
+        return a.market.minStartDelay + (a.opening ? connectDelay : 0) + allowance;
     }
 
     /**
-     * Average speed stays 1, as an unlearned worker is counted. Danger: shares too small for a job teach
-     * nothing, so few workers are traded with; all of them if the few can't or don't take a job in a period.
+     * Normalizes run-time ratios to an average of 1, which is also the assumed ratio of a worker with no
+     * samples. Selects the fraction of workers to trade with: shares smaller than a job yield no
+     * observations, so with many dispatchers each uses a part of the workers, or all of them if that part
+     * can't or doesn't take a job within a period.
      */
     private void normalizeRunTimes(long now) {
-        double paces = 0;
-        double slots = 0;
-        for (WorkerMarket s : markets) {
-            paces += s.runTimeRatio;
-            slots += state.slotCapacity(s);
+        double ratioSum = 0;
+        double slotSum = 0;
+        for (WorkerMarket market : markets) {
+            ratioSum += market.runTimeRatio;
+            slotSum += state.slotCapacity(market);
         }
-        double mean = markets.isEmpty() ? 1 : paces / markets.size();
-        tradedFraction = Math.min(1, MAX_SHARES_PER_SLOT * slots / markets.size() / settings.dispatchers());
-        boolean stranded = true;
-        for (WorkerMarket s : markets) {
-            s.runTimeRatio /= mean;
-            stranded &= s.tieBreak > tradedFraction || !acceptsJobs(s, now);
+        double meanRatio = markets.isEmpty() ? 1 : ratioSum / markets.size();
+        tradedFraction = Math.min(1, MAX_SHARES_PER_SLOT * slotSum / markets.size() / settings.dispatchers());
+        boolean noneAvailable = true;
+        for (WorkerMarket market : markets) {
+            market.runTimeRatio /= meanRatio;
+            noneAvailable &= market.tieBreak > tradedFraction || !acceptsJobs(market, now);
         }
-        tradedFraction = stranded || held.stream().anyMatch(j -> j.heldLongerThan(period, now)) ? 1 : tradedFraction;
-        for (Commodity g : commodities) {
-            g.runMicros *= g.runCount > 0 ? mean : 1;
+        tradedFraction = noneAvailable || heldJobs.stream().anyMatch(job -> job.heldLongerThan(periodMicros, now))
+                ? 1
+                : tradedFraction;
+        for (Commodity commodity : commodities) {
+            commodity.runMicros *= commodity.runCount > 0 ? meanRatio : 1;
         }
-        hold = state.meanCost(commodities);
+        meanJobCost = state.meanCost(commodities);
     }
 
-    /** Ends a period, in which leftover lowered the price, and opens the quotas of the next. */
-    private void startPeriod(WorkerMarket s, long now) {
-        if (now < s.coldQuotaUntil && acceptsJobs(s, now) && !s.quotaExhausted()) {
+    /**
+     * Ends a worker's period, in which quota left over lowers its price, and sets the quotas of the next one.
+     */
+    private void startPeriod(WorkerMarket market, long now) {
+        if (now < market.coldQuotaUntil && acceptsJobs(market, now) && !market.quotaExhausted()) {
             return;
         }
-        double fresh = s.slotShare * period;
-        double need = 0;
-        for (Commodity g : commodities) {
-            need = g.requestCount > 0 ? Math.max(need, s.cost(g)) : need;
-            if (s.quota[g.index] > 0) {
-                s.adjustPrice(g, 1 - PRICE_STEP * s.quota[g.index], priceFloor, PRICE_SPAN);
+        double income = market.slotShare * periodMicros;
+        double largestCost = 0;
+        for (Commodity commodity : commodities) {
+            largestCost = commodity.requestCount > 0 ? Math.max(largestCost, market.cost(commodity)) : largestCost;
+            if (market.quota[commodity.index] > 0) {
+                market.adjustPrice(commodity, 1 - PRICE_STEP * market.quota[commodity.index], priceFloor, PRICE_SPAN);
             }
         }
-        s.credit = (need > fresh ? s.credit : Math.min(0, s.credit)) + fresh;
-        s.credit = Math.max(-need, Math.min(Math.max(fresh, need), s.credit));
-        s.clearQuotas();
-        boolean trades = acceptsJobs(s, now) && (s.needsTrialJob || s.tieBreak <= tradedFraction);
-        if (trades && isCold(s, now)) {
-            supplyCold(s, now);
+        market.credit = (largestCost > income ? market.credit : Math.min(0, market.credit)) + income;
+        market.credit = Math.max(-largestCost, Math.min(Math.max(income, largestCost), market.credit));
+        market.clearQuotas();
+        boolean trades = acceptsJobs(market, now) && (market.needsTrialJob || market.tieBreak <= tradedFraction);
+        if (trades && isCold(market, now)) {
+            supplyCold(market, now);
         } else if (trades) {
-            fillQuotas(s);
+            fillQuotas(market);
         }
-        if (trades && s.needsTrialJob) {
-            grantTrialQuota(s);
+        if (trades && market.needsTrialJob) {
+            grantTrialQuota(market);
         }
     }
 
     /**
-     * A worker that comes back, dear or cold, may be passed by for long: it gets the next safe job. Danger:
-     * one from every dispatcher at once must stay far below what pushes it over.
+     * Gives a worker that came back into service quota for the next safe job, because one that is expensive
+     * or cold might get no job for long. The limit keeps one such job from every dispatcher at once far below
+     * what overloads the worker.
      */
-    private void grantTrialQuota(WorkerMarket s) {
+    private void grantTrialQuota(WorkerMarket market) {
         Cold cold = settings.coldStart();
-        double most =
-                cold.initialFraction() * state.slotCapacity(s) * cold.overloadWindow() * cold.overloadFactor() / 2;
-        for (Commodity g : commodities) {
-            boolean due = g.requestCount > 0
-                    && g.jobClass.effect() == Effect.SAFE
-                    && settings.dispatchers() * s.conservativeCost(g) <= most;
-            s.quota[g.index] = Math.max(due ? 1 : 0, s.quota[g.index]);
+        double limit =
+                cold.initialFraction() * state.slotCapacity(market) * cold.overloadWindow() * cold.overloadFactor() / 2;
+        for (Commodity commodity : commodities) {
+            boolean eligible = commodity.requestCount > 0
+                    && commodity.jobClass.effect() == Effect.SAFE
+                    && settings.dispatchers() * market.conservativeCost(commodity) <= limit;
+            market.quota[commodity.index] = Math.max(eligible ? 1 : 0, market.quota[commodity.index]);
         }
     }
 
     /**
-     * A job of each good in turn, the dearest by the slot-second first, until the slot-seconds are used up:
-     * what is scarce goes to the dearest, what is ample to all. If the dearest doesn't fit, its credit waits.
+     * Fills quotas with one job of each commodity in turn, those with the highest price per slot-second
+     * first, until the credit is used up: scarce capacity goes to the most valuable commodities, ample
+     * capacity to all. If the first one doesn't fit, the credit is saved for it.
      */
-    private void fillQuotas(WorkerMarket s) {
-        boolean unlearned = s.runSamples == 0;
-        double budget = s.credit;
-        int before = -1;
-        for (int sold = 0; sold > before; ) {
-            before = unlearned ? Integer.MAX_VALUE : sold;
+    private void fillQuotas(WorkerMarket market) {
+        boolean unlearned = market.runSamples == 0;
+        double budget = market.credit;
+        int soldBefore = -1;
+        for (int sold = 0; sold > soldBefore; ) {
+            soldBefore = unlearned ? Integer.MAX_VALUE : sold;
             fillRound++;
-            for (Commodity g = mostValuable(s); g != null; g = mostValuable(s)) {
-                g.fillRound = fillRound;
-                if (unlearned || budget >= s.cost(g)) {
-                    s.quota[g.index]++;
-                    budget -= s.cost(g);
+            for (Commodity commodity = mostValuable(market); commodity != null; commodity = mostValuable(market)) {
+                commodity.fillRound = fillRound;
+                if (unlearned || budget >= market.cost(commodity)) {
+                    market.quota[commodity.index]++;
+                    budget -= market.cost(commodity);
                     sold++;
                 } else if (sold == 0) {
                     return;
@@ -560,45 +653,49 @@
         }
     }
 
-    /** The dearest good, by the slot-second, that has not had its turn. */
-    private Commodity mostValuable(WorkerMarket s) {
+    /** The commodity with the highest price per slot-second that has not been considered in this round. */
+    private Commodity mostValuable(WorkerMarket market) {
         Commodity best = null;
-        double most = 0;
-        for (Commodity g : commodities) {
-            double bySlot = s.price[g.index] * g.weightedValue / g.cost();
-            if (g.requestCount > 0 && g.fillRound < fillRound && (best == null || bySlot > most)) {
-                best = g;
-                most = bySlot;
+        double highest = 0;
+        for (Commodity commodity : commodities) {
+            double valuePerSlot = market.price[commodity.index] * commodity.weightedValue / commodity.cost();
+            if (commodity.requestCount > 0
+                    && commodity.fillRound < fillRound
+                    && (best == null || valuePerSlot > highest)) {
+                best = commodity;
+                highest = valuePerSlot;
             }
         }
         return best;
     }
 
     /**
-     * Danger: dispatchers that each save up a job for a cold worker send them together and push it over. So
-     * its quota is drawn by lot, a job at a time, at a rate that keeps the sum of all under its limit, at the
-     * slowest warming allowed, by some standard deviations; by fewer where the others tell what they have
-     * there. A good is drawn as often as it is asked for.
+     * Sets the quota of a cold worker. Dispatchers that each saved up credit for a cold worker would send
+     * their jobs together and overload it. Its quota is therefore drawn at random, one job at a time, at a
+     * rate that keeps the sum over all dispatchers below the overload limit at the slowest warm-up allowed,
+     * by a margin of several standard deviations; the margin is smaller where other dispatchers announce
+     * their load. Commodities are drawn in proportion to their demand.
      */
-    private void supplyCold(WorkerMarket s, long now) {
+    private void supplyCold(WorkerMarket market, long now) {
         Cold cold = settings.coldStart();
-        double capacity = state.warmUpFraction(s, now) * state.slotCapacity(s) * cold.overloadWindow();
-        Commodity g = lastRequested;
-        double cost = g == null ? capacity : s.conservativeCost(g);
+        double capacity = state.warmUpFraction(market, now) * state.slotCapacity(market) * cold.overloadWindow();
+        Commodity commodity = lastRequested;
+        double cost = commodity == null ? capacity : market.conservativeCost(commodity);
         double sigmas = peersHeard() ? COLD_SIGMAS_WITH_PEERS : COLD_SIGMAS;
         double root =
                 (Math.sqrt(sigmas * sigmas * cost + 4 * cold.overloadFactor() * capacity) - sigmas * Math.sqrt(cost))
                         / 2;
         double jobs =
                 Math.min(root * root / (1 + COLD_QUOTA_WINDOW_FRACTION), 2 * capacity) / cost / settings.dispatchers();
-        boolean drawn = g != null && random.nextDouble() < jobs * period / cold.overloadWindow();
-        s.coldQuotaUntil = drawn ? now + (long) (COLD_QUOTA_WINDOW_FRACTION * cold.overloadWindow()) : 0;
+        boolean drawn = commodity != null && random.nextDouble() < jobs * periodMicros / cold.overloadWindow();
+        market.coldQuotaUntil = drawn ? now + (long) (COLD_QUOTA_WINDOW_FRACTION * cold.overloadWindow()) : 0;
         for (Commodity other : commodities) {
-            s.quota[other.index] = drawn && other.requestCount > 0 && s.conservativeCost(other) <= cost ? 1 : 0;
+            market.quota[other.index] =
+                    drawn && other.requestCount > 0 && market.conservativeCost(other) <= cost ? 1 : 0;
         }
     }
 
-    // ---- word of an attempt ----
+    // ---- events of an attempt ----
 
     @Override
     public void started(long now, long request, int attempt) {
@@ -607,14 +704,14 @@
         if (a == null || a.startedAt > 0) {
             return;
         }
-        WorkerMarket s = a.market;
+        WorkerMarket market = a.market;
         state.recordStarted(a, now);
-        s.lastStartDelay = now - a.sentAt > promptStartLimit(a) ? now - a.sentAt : 0;
-        s.lastStartDelayAt = now;
+        market.lastStartDelay = now - a.sentAt > promptStartLimit(a) ? now - a.sentAt : 0;
+        market.lastStartDelayAt = now;
         adjustShare(a, now);
-        int copy = a.job.otherOpenAttempt(a);
-        if (copy >= 0) {
-            actions.cancel(request, a.job.attempts.get(copy).startedAt > 0 ? attempt : copy);
+        int other = a.job.otherOpenAttempt(a);
+        if (other >= 0) {
+            actions.cancel(request, a.job.attempts.get(other).startedAt > 0 ? attempt : other);
         }
     }
 
@@ -626,13 +723,17 @@
         }
     }
 
-    /** Danger: a share that grows while it is not used lets a burst through; only one in use is tried. */
+    /**
+     * Adjusts the share of a worker by a start. Only a share that is in use grows, since a share that grew
+     * while idle would let a burst through.
+     */
     private void adjustShare(JobAttempt a, long now) {
-        WorkerMarket s = a.market;
+        WorkerMarket market = a.market;
         if (now - a.sentAt > promptStartLimit(a)) {
             markQueued(a);
-        } else if (s.runningSlots >= s.slotShare / 2) {
-            s.slotShare = Math.min(state.slotCapacity(s), s.slotShare + SHARE_GROWTH * evenShare(s));
+        } else if (market.runningSlots >= market.slotShare / 2) {
+            market.slotShare =
+                    Math.min(state.slotCapacity(market), market.slotShare + SHARE_GROWTH * evenShare(market));
         }
     }
 
@@ -645,63 +746,77 @@
 
     @Override
     public void ended(
-            long now, long request, int attempt, Outcome outcome, boolean over, double freeSlots, double freeMemory) {
+            long now,
+            long request,
+            int attempt,
+            Outcome outcome,
+            boolean requestFinished,
+            double freeSlots,
+            double freeMemory) {
         state.advanceClock(now);
         JobAttempt a = state.openAttempt(request, attempt);
         if (a == null) {
             return;
         }
         PendingJob job = a.job;
-        WorkerMarket s = a.market;
+        WorkerMarket market = a.market;
         openAttempts.remove(a);
-        double start = a.startedAt > 0 ? a.startedAt : now + expectedWait(s, job, now);
+        double start = a.startedAt > 0 ? a.startedAt : now + expectedWait(market, job, now);
         state.recordEnded(a, now, outcome, (long) (start + a.expectedMicros));
-        state.recordLoadReport(s, now, freeSlots, freeMemory);
+        state.recordLoadReport(market, now, freeSlots, freeMemory);
         switch (outcome) {
             case SERVED -> learnFromServed(a, now);
             case REJECTED -> {
                 markQueued(a);
-                s.credit = Math.min(0, s.credit);
-                backOff(s, now, (long) (job.commodity.runMicros * s.runTimeRatio / state.slotCapacity(s)));
+                market.credit = Math.min(0, market.credit);
+                backOff(market, now, (long)
+                        (job.commodity.runMicros * market.runTimeRatio / state.slotCapacity(market)));
             }
             case ERROR -> {
-                s.recentErrors++;
-                backOff(s, now, period);
+                market.recentErrors++;
+                backOff(market, now, periodMicros);
             }
-            case CONNECT_FAILED -> backOff(s, now, CONNECT_FAILURE_PERIODS * period);
+            case CONNECT_FAILED -> backOff(market, now, CONNECT_FAILURE_PERIODS * periodMicros);
             case NOT_SENT, CANCELLED -> {}
-            default -> backOff(s, now, period);
+            default -> backOff(market, now, periodMicros);
         }
-        if (over || job.finished) {
-            double most = job.commodity.jobClass.targetTime()
+        if (requestFinished || job.finished) {
+            double fullValueLimit = job.commodity.jobClass.targetTime()
                     + job.commodity.jobClass.runTimeFactor() * job.commodity.runMicros * job.sizeFactor;
-            finish(job, outcome == Outcome.SERVED && now - job.arrivedAt <= most);
+            finish(job, outcome == Outcome.SERVED && now - job.arrivedAt <= fullValueLimit);
         } else if (job.openAttempts == 0) {
-            hold(job, now);
+            holdOrGiveUp(job, now);
         }
     }
 
-    /** What a finished job teaches of its worker's pace and its good's run time. */
+    /** Updates the estimates and the worker's credit from a served job. */
     private void learnFromServed(JobAttempt a, long now) {
-        WorkerMarket s = a.market;
-        s.recentErrors /= 2;
-        s.resetFailures(now);
-        double run = now - (a.startedAt > 0 ? a.startedAt : a.sentAt);
+        WorkerMarket market = a.market;
+        market.recentErrors /= 2;
+        market.resetFailures(now);
+        double elapsed = now - (a.startedAt > 0 ? a.startedAt : a.sentAt);
         if (!settings.startNotices()) {
             adjustShare(a, now);
         }
-        // A slot entered at once is known to be free after; one at a key's far worker had better stay idle.
-        boolean free = !a.queued && a.job.key == 0;
-        s.credit += (free ? a.expectedMicros : Math.max(0, a.expectedMicros - run)) * a.job.slots;
-        state.learnFromRun(a, run);
-        s.credit = free && s.slotShare < 1 ? Math.max(s.credit, s.cost(a.job.commodity)) : s.credit;
+        // A slot that was entered at once is known to be free afterwards. Jobs with a key are excluded, because
+        // a worker that doesn't have the key cached is better left idle.
+        boolean slotWasFree = !a.queued && a.job.key == 0;
+        market.credit += (slotWasFree ? a.expectedMicros : Math.max(0, a.expectedMicros - elapsed)) * a.job.slots;
+        state.learnFromRun(a, elapsed);
+        market.credit = slotWasFree && market.slotShare < 1
+                ? Math.max(market.credit, market.cost(a.job.commodity))
+                : market.credit;
     }
 
-    /** Danger: a worker that fails fast would draw jobs; each failure in a row doubles its bar. */
-    private void backOff(WorkerMarket s, long now, long first) {
-        s.clearQuotas();
-        long step = Math.max(1, first) << Math.min(MAX_BACKOFF_DOUBLINGS, s.recentErrors + s.failuresInRow++);
-        s.backoffUntil = now + step + random.nextLong(step);
+    /**
+     * Sends the worker nothing for a while, doubling with each failure in a row; a worker that fails fast
+     * would otherwise attract jobs.
+     */
+    private void backOff(WorkerMarket market, long now, long baseDelay) {
+        market.clearQuotas();
+        long step =
+                Math.max(1, baseDelay) << Math.min(MAX_BACKOFF_DOUBLINGS, market.recentErrors + market.failuresInRow++);
+        market.backoffUntil = now + step + random.nextLong(step);
     }
 
     @Override
@@ -722,10 +837,11 @@
             return;
         }
         listFailures = 0;
-        state.applyWorkerList(kind != ListKind.CHANGES, entries, w -> {
-            WorkerMarket s = new WorkerMarket(w, commodities, random.nextDouble(), MAX_START_DELAY_PERIODS * period);
-            s.slotShare = evenShare(s);
-            return s;
+        state.applyWorkerList(kind != ListKind.CHANGES, entries, worker -> {
+            WorkerMarket market =
+                    new WorkerMarket(worker, commodities, random.nextDouble(), MAX_START_DELAY_PERIODS * periodMicros);
+            market.slotShare = evenShare(market);
+            return market;
         });
     }
 }
--- a/src/main/java/barrowflow/Dispatcher.java
+++ b/src/main/java/barrowflow/Dispatcher.java
@@ -5,23 +5,25 @@
 
 /**
  * The interface between a host and the decision module {@link Choice}: settings and types, the events that a
- * host reports (methods of this interface) and the actions that the module asks for ({@link Actions}).
+ * host reports (the methods of this interface) and the actions that the module requests ({@link Actions}).
  *
- * <p>One dispatcher is single-threaded: the host calls one method at a time, and {@code Actions} methods are
- * called back within that call or the constructor, never later. Times are microseconds of one clock of the
- * host's that only goes forward; each event carries the present time. All randomness comes from the seed. Two
- * dispatchers share nothing.
+ * <p>A dispatcher is single-threaded: the host calls one method at a time, and methods of {@code Actions} are
+ * called back within that call or within the constructor, never later. Times are microseconds of a single
+ * monotonic clock of the host; each event carries the current time. All randomness comes from the seed. Two
+ * dispatchers share no state.
  *
- * <p>A host owes: {@link #workers} soon after the start, then every change it learns; {@link #request} for
- * each job it takes; exactly one {@link #ended} for each {@code send}, a time-out at the client's limit at
- * the latest; {@link #timer} for each {@code timerAt}, at or after its time. Events on requests, attempts,
- * workers or timers no longer held are ignored. An event that goes back in time, a request id still held, an
- * unknown class and invalid settings get an IllegalArgumentException.
+ * <p>The host must call {@link #workers} soon after the start and then for every change it learns of; {@link
+ * #request} for each job it accepts; {@link #ended} exactly once for each {@code send}, with a time-out at
+ * the client's limit at the latest; and {@link #timer} for each {@code timerAt}, at or after its time. Events
+ * on requests, attempts, workers or timers that are no longer held are ignored. An event with an earlier time
+ * than the one before it, a request id that is still held, an unknown class and invalid settings cause an
+ * IllegalArgumentException.
  */
 public interface Dispatcher {
 
     /**
-     * May a job run twice? SAFE: freely. KEYED: where its repeats are dropped. UNSAFE: never. Strictest last.
+     * Whether a job may run more than once. SAFE: always. KEYED: only where workers deduplicate it by its
+     * key. UNSAFE: never. Ordered from least to most strict; comparisons rely on this order.
      */
     enum Effect {
         SAFE,
@@ -29,20 +31,27 @@
         UNSAFE
     }
 
-    /** Which workers drop a repeat of a KEYED job: all, those of one zone, those of one cell. */
+    /**
+     * The workers among which a repeated KEYED job is deduplicated: all, those of one zone, or those of one
+     * cell.
+     */
     enum Group {
         ALL,
         ZONE,
         CELL
     }
 
+    /** READY accepts jobs, DRAINING only completes those that it has, GONE is not listed any more. */
     enum WorkerState {
         READY,
         DRAINING,
         GONE
     }
 
-    /** WHOLE and CACHED name every worker, CACHED maybe of long ago; CHANGES what is new; FAILED none. */
+    /**
+     * WHOLE and CACHED name every worker, and CACHED may be out of date; CHANGES has the changed entries
+     * alone; FAILED means that no list could be obtained.
+     */
     enum ListKind {
         WHOLE,
         CACHED,
@@ -50,7 +59,7 @@
         FAILED
     }
 
-    /** How an attempt ended. The first SERVED goes to the client by itself. */
+    /** How an attempt ended. The host passes the first SERVED answer on to the client by itself. */
     enum Outcome {
         SERVED(false),
         ERROR(false),
@@ -61,7 +70,7 @@
         CANCELLED(false),
         NOT_SENT(true);
 
-        /** True where the outcome proves that the job never ran. */
+        /** True if the outcome proves that the job did not run. */
         public final boolean neverRan;
 
         Outcome(boolean neverRan) {
@@ -70,8 +79,9 @@
     }
 
     /**
-     * A class of jobs. An answer earns {@code worth} within {@code aim + stretch * own running time}, and
-     * {@code lateShare} of it after that. {@code machineKind} is the one kind that runs it, or -1 for any.
+     * A class of jobs. An answer is worth {@code value} within {@code targetTime + runTimeFactor * run time
+     * of the job}, and {@code value * lateValueFactor} after that. {@code machineKind} is the only kind of
+     * machine that can run it, or -1 for any. Times are microseconds.
      */
     record JobClass(
             long targetTime,
@@ -84,36 +94,46 @@
             long dedupWindow,
             int machineKind) {}
 
-    /** A tenant, and the jobs a second over all dispatchers within its share; 0 where there is no limit. */
+    /** A tenant and its share in jobs per second over all dispatchers; 0 for no limit. */
     record Tenant(double jobsPerSecond) {}
 
     /**
-     * A worker just started has at least {@code from} of its capacity, and all of it after {@code warmUp}.
-     * Sent more than {@code fallMultiple} times what it has over a {@code fallWindow}, it falls over.
+     * Limits of workers that have just started. A worker has at least {@code initialFraction} of its capacity
+     * at its start and all of it after {@code warmUp}. It becomes overloaded if it receives more than {@code
+     * overloadFactor} times its current capacity within {@code overloadWindow}. Times are microseconds.
      */
     record Cold(double initialFraction, long warmUp, double overloadFactor, long overloadWindow) {}
 
     /**
-     * What the result is made of: the weights of the whole run and of the worst-served class, and whether
-     * worth counts for each unit of work ({@code byWork}) or for each job.
+     * What the module maximizes: the weights of the overall value and of the worst-served class, and whether
+     * a job's value counts per unit of work ({@code weightByWork}) or per job.
      */
     record Objective(double overallWeight, double worstClassWeight, boolean weightByWork) {
-        /** Nothing told: the whole run counts, by the job. */
+        /** The objective where none is configured: overall value, counted per job. */
         public static final Objective DEFAULT = new Objective(1, 0, false);
     }
 
     /**
-     * Ways to learn of workers beyond own jobs, with their prices in parts of the result: messages to other
-     * dispatchers ({@code peerPrice} for one full message a job) and probes ({@code probePrice} for one a
-     * job); {@code reportsByProbe} where load reports come with probes alone.
+     * Sources of load information besides this dispatcher's own jobs, with their costs as a fraction of the
+     * result: messages to other dispatchers ({@code peerPrice} for one full message per job) and probes
+     * ({@code probePrice} for one per job). {@code reportsOnlyByProbe} is set where workers report their load
+     * in answers to probes alone.
      */
     record LoadSources(boolean peers, double peerPrice, boolean probes, double probePrice, boolean reportsOnlyByProbe) {
         public static final LoadSources NONE = new LoadSources(false, 0, false, 0, false);
     }
 
     /**
-     * All that the module is told at its start; {@code dispatchers} push to the same workers. With {@code
-     * secondCopies} a job that may run twice can have two attempts out at once.
+     * Settings of the module, given at its start. Times are microseconds.
+     *
+     * @param dispatchers the number of dispatchers that push to the same workers
+     * @param zone this dispatcher's zone
+     * @param overShareValue the value of a job over its tenant's share, relative to its normal value
+     * @param maxRetryAfter the wait that a refusal advises
+     * @param listOnDemand the worker list is reported only after {@link Actions#watchList}
+     * @param startNotices the host reports the start of attempts by {@link #started}
+     * @param crossZonePrice the price of sending a job to another zone; 0 for none
+     * @param hedging a job that may run twice can have two open attempts at once
      */
     record Settings(
             int dispatchers,
@@ -131,7 +151,7 @@
             boolean hedging,
             Objective objective,
             LoadSources loadSources) {
-        /** The same where neither a goal nor ways to learn are told. */
+        /** Settings with the default objective and no load information besides own jobs. */
         public Settings(
                 int dispatchers,
                 int zone,
@@ -164,7 +184,7 @@
                     LoadSources.NONE);
         }
 
-        /** The same where no second copy may be sent while the first is out. */
+        /** Settings without hedging. */
         public Settings(
                 int dispatchers,
                 int zone,
@@ -194,7 +214,7 @@
                     false);
         }
 
-        /** The same where the host can't reach other dispatchers. */
+        /** These settings for a host that can't reach other dispatchers. */
         public Settings withoutPeers() {
             return new Settings(
                     dispatchers,
@@ -221,79 +241,93 @@
 
         public Settings {
             if (dispatchers < 1 || maxAttempts < 1 || classes.isEmpty()) {
-                throw new IllegalArgumentException("settings need a dispatcher, an attempt and a class");
+                throw new IllegalArgumentException(
+                        "at least one dispatcher, one attempt and one job class are required");
             }
-            for (JobClass c : classes) {
-                if (c.targetTime() < 0 || c.deadline() < 0 || !(c.value() > 0)) {
-                    throw new IllegalArgumentException("a class needs a time and a worth: " + c);
+            for (JobClass jobClass : classes) {
+                if (jobClass.targetTime() < 0 || jobClass.deadline() < 0 || !(jobClass.value() > 0)) {
+                    throw new IllegalArgumentException(
+                            "a job class needs times that are not negative and a value above 0: " + jobClass);
                 }
             }
             if (!(coldStart.initialFraction() > 0 && coldStart.overloadFactor() > 0)
                     || coldStart.warmUp() < 0
                     || coldStart.overloadWindow() < 1) {
-                throw new IllegalArgumentException("impossible limits for cold workers: " + coldStart);
+                throw new IllegalArgumentException("invalid cold-start limits: " + coldStart);
             }
         }
     }
 
     /**
-     * A line of the worker list; {@code startedAt} is 0 for long ago. {@code name} is the same at every
-     * dispatcher, {@code id} the host's own number for it.
+     * An entry of the worker list. {@code id} is the host's own number for the worker, {@code globalId} is
+     * the same at every dispatcher, and {@code startedAt} is 0 for a worker that started long ago.
      */
     record Worker(long id, int kind, int zone, int cell, WorkerState state, long startedAt, long globalId) {
-        /** A worker whose number is the same at every dispatcher. */
+        /** A worker whose id is the same at every dispatcher. */
         public Worker(long id, int kind, int zone, int cell, WorkerState state, long startedAt) {
             this(id, kind, zone, cell, state, startedAt, id);
         }
     }
 
     /**
-     * What a dispatcher has learned, for another one with the same settings that takes its place. The figures
-     * mean something to the module alone; {@code workers} has them by id.
+     * Learned state for another dispatcher with the same settings that replaces this one. Only this module
+     * interprets the figures; {@code byWorker} is keyed by worker id.
      */
     record LearnedState(List<Double> shared, Map<Long, List<Double>> byWorker) {}
 
-    /** What the module may ask of its host; each call is an obligation to act at once. */
+    /** Actions that the module requests of its host; the host must carry out each call at once. */
     interface Actions {
-        /** Start the next attempt of a request (numbered 0, 1, ...), with no time-out but the client's. */
+        /** Starts the next attempt of a request (numbered 0, 1, ...), with no time-out but the client's. */
         void send(long request, long worker);
 
-        /** Stop waiting for an attempt. */
+        /** Stops waiting for an attempt. */
         void cancel(long request, int attempt);
 
-        /** Final answer: turned away, trying again is harmless, best after {@code wait}. */
+        /**
+         * Final answer: the job was refused and can safely be retried, preferably after {@code wait}
+         * microseconds.
+         */
         void refuse(long request, long wait);
 
-        /** Final answer: failed, with no promise about its effect. */
+        /** Final answer: the job failed, and may or may not have taken effect. */
         void fail(long request);
 
-        /** Call {@link #timer} at that time. */
+        /** Schedules a call of {@link #timer} at the given time. */
         void timerAt(long time);
 
-        /** Subscribe to changes of the worker list; whatever comes of it, {@link #workers} answers. */
+        /**
+         * Subscribes to changes of the worker list. The host reports the result, a failure included, by
+         * {@link #workers}.
+         */
         void watchList();
 
-        /** Send every other dispatcher a message of 256 bytes at most; asked for where settings allow it. */
+        /**
+         * Sends a message of at most 256 bytes to every other dispatcher; called only where the settings
+         * allow it.
+         */
         default void tell(byte[] message) {}
 
-        /** Ask a worker for its load; {@link #probed} answers. Asked for where settings allow it. */
+        /**
+         * Asks a worker for its load, which the host reports by {@link #probed}; called only where the
+         * settings allow it.
+         */
         default void probe(long worker) {}
     }
 
-    /** The worker list, or changes to it, became known. */
+    /** The host received the worker list or changes to it. */
     void workers(long now, ListKind kind, List<Worker> entries);
 
     /**
-     * A client's job arrived, to be answered within {@code timeLeft}.
+     * A client's job arrived, to be answered within {@code timeLeft} microseconds.
      *
-     * @param tenant its place in the settings' list; any other number for one without a share, where there
-     *     are shares
-     * @param key what the job is about; 0 for nothing
-     * @param slots slots that it takes of a worker
-     * @param memory memory units that it takes; 0 where none are counted
-     * @param atLeast what this job says of its effect; the stricter of this and its class's holds
-     * @param hint a rough guess at its work, microseconds of a standard core; 0 for none
-     * @param doubtful it may be one that was asked for before, whose time to be worth something is over
+     * @param tenant index into the settings' list of tenants; any other number for a job of a tenant that has
+     *     no share there
+     * @param key the entity that the job concerns; 0 for none
+     * @param slots worker slots that the job takes
+     * @param memory memory units that the job takes; 0 where memory is not counted
+     * @param minEffect the effect that this job declares; the stricter of this and its class's applies
+     * @param workHint an estimate of its work, microseconds of a standard core; 0 for none
+     * @param possibleRepeat the job may repeat an earlier request whose time to be of value has passed
      */
     void request(
             long now,
@@ -304,11 +338,11 @@
             long timeLeft,
             double slots,
             double memory,
-            Effect atLeast,
-            long hint,
-            boolean doubtful);
+            Effect minEffect,
+            long workHint,
+            boolean possibleRepeat);
 
-    /** The same for a job that comes with no hint. */
+    /** A job without a work hint. */
     default void request(
             long now,
             long id,
@@ -318,56 +352,69 @@
             long timeLeft,
             double slots,
             double memory,
-            Effect atLeast) {
-        request(now, id, jobClass, tenant, key, timeLeft, slots, memory, atLeast, 0, false);
+            Effect minEffect) {
+        request(now, id, jobClass, tenant, key, timeLeft, slots, memory, minEffect, 0, false);
     }
 
-    /** The same for a job that is like all of its class. */
+    /** A job with no stricter effect than its class. */
     default void request(
             long now, long id, int jobClass, int tenant, long key, long timeLeft, double slots, double memory) {
         request(now, id, jobClass, tenant, key, timeLeft, slots, memory, Effect.SAFE);
     }
 
     /**
-     * A connection has to be opened for an attempt that was just sent, so word of its start comes later than
-     * on an open one. A host that does not know this leaves it out. It may be called from within {@code
-     * send}.
+     * A connection has to be opened for an attempt that was just sent, so its start notice arrives later than
+     * on an open connection. Hosts that can't detect this need not call it. It may be called from within
+     * {@code send}.
      */
     default void opening(long request, int attempt) {}
 
-    /** An attempt that is still out began to run. */
+    /** An attempt that is still open began to run. */
     void started(long now, long request, int attempt);
 
     /**
      * An attempt ended.
      *
-     * @param over the request is over, by this outcome or before it
-     * @param freeSlots what the worker reports free with its answer; NaN where it does not
-     * @param freeMemory likewise
+     * @param requestFinished the request is finished, by this outcome or earlier
+     * @param freeSlots free slots that the worker reported with its answer; NaN if it reported none
+     * @param freeMemory free memory units, likewise
      */
-    void ended(long now, long request, int attempt, Outcome outcome, boolean over, double freeSlots, double freeMemory);
+    void ended(
+            long now,
+            long request,
+            int attempt,
+            Outcome outcome,
+            boolean requestFinished,
+            double freeSlots,
+            double freeMemory);
 
-    /** A message of another dispatcher, the {@code from}th; whatever it holds, no rule hangs on it. */
+    /**
+     * A message arrived from the dispatcher with index {@code from}. Invalid messages must not break any
+     * rule.
+     */
     default void heard(long now, int from, byte[] message) {}
 
-    /** What came of a {@link Actions#probe}: free slots and memory, NaN where nothing was told. */
+    /** The result of a {@link Actions#probe}: free slots and memory, NaN if none were reported. */
     default void probed(long now, long worker, double freeSlots, double freeMemory) {}
 
-    /** The client has left; nothing more is owed. */
+    /** The client disconnected; the request needs no answer any more. */
     void withdrawn(long now, long request);
 
-    /** Whether nothing new goes to a worker at present: unknown or not ready, or failing, or behind. */
+    /**
+     * Whether the module currently sends no new jobs to a worker: unknown, not ready, failing, or with a
+     * queue of own jobs.
+     */
     boolean avoids(long now, long worker);
 
-    /** What has been learned so far. */
+    /** The state learned so far. */
     LearnedState learned(long now);
 
     /**
-     * Begins with what another dispatcher has learned, also bit by bit; workers that are not known here are
-     * left out, and so is everything if it is not of this module's making.
+     * Imports state learned by another dispatcher, at once or in parts. Workers that are unknown here are
+     * skipped, and so are figures whose number doesn't match this module's.
      */
     void recall(long now, LearnedState learned);
 
-    /** A time asked for with {@link Actions#timerAt} has come. */
+    /** A time requested by {@link Actions#timerAt} was reached. */
     void timer(long now);
 }
--- a/src/main/java/barrowflow/MarketState.java
+++ b/src/main/java/barrowflow/MarketState.java
@@ -22,97 +22,104 @@
 import java.util.function.Function;
 import java.util.function.ToDoubleFunction;
 
-/** What {@link Choice} keeps on record. It holds figures and decides nothing. */
+/**
+ * The state that {@link Choice} decides on: markets, pending jobs and learned estimates. It makes no
+ * decisions.
+ */
 final class MarketState {
-    /** Keys are counted in so many cells. */
+    /** Buckets in which requests are counted by key. */
     private static final int KEY_BUCKETS = 1024;
-    /** What was learned of so many kinds of workers is handed on. */
+    /** Machine kinds whose slot capacity is exported to a replacement dispatcher. */
     private static final int EXPORTED_KINDS = 16;
-    /** Goods of a class: up to 1, 2, 4 and more slots wide. */
+    /** Commodities per class: jobs of up to 1, 2 and 4 slots, and wider ones. */
     static final int WIDTH_BANDS = 4;
-    /** Service is counted over so many microseconds, and blurs by so much of it. */
+    /** Time constant with which the service of each class decays, microseconds. */
     private static final double SERVICE_DECAY_MICROS = 10e6;
-
+    /** Difference in service rate within which classes share the bonus of the worst-served class. */
     private static final double WORST_CLASS_BLUR = 0.1;
-    /** Learned figures follow the last so many jobs; none is taken to run shorter than a millisecond. */
-    private static final double PACE_SAMPLES = 8;
-
+    /** Jobs over which the run-time ratio and error rate of a worker are averaged. */
+    private static final double RATIO_SAMPLES = 8;
+    /** Jobs over which run times, slots, fetch times and hints are averaged. */
     private static final double RUN_SAMPLES = 64;
-    /** What reports tell of a worker's slots is followed by this part. */
-    private static final double BUSY_SMOOTHING = 0.3;
-
+    /** Smoothing factor for the slots that other dispatchers' jobs take, by load reports. */
+    private static final double PEER_SLOTS_SMOOTHING = 0.3;
+    /** Lower limit of a learned run time, a millisecond. */
     private static final double MIN_RUN_MICROS = 1_000;
 
-    /** The workers listed, in the order in which they were first named. */
+    /** Markets of the listed workers, in the order in which the workers were first listed. */
     final List<WorkerMarket> markets = new ArrayList<>();
 
     final Map<Long, PendingJob> jobs = new HashMap<>();
     final StartDelayEstimator startDelays = new StartDelayEstimator();
-    /** How long it takes a worker to fetch what a job is about, microseconds. */
+    /** Learned time in which a worker fetches the data of a key that it has not cached, microseconds. */
     double fetchMicros;
 
     private final Cold cold;
     private final List<JobAttempt> abandonedAttempts = new ArrayList<>();
     private final Map<Long, WorkerMarket> marketById = new HashMap<>();
-    /** Workers that are gone and may come back, in the order in which they went; so many at most. */
+    /** Removed workers that may return, in order of removal; at most MAX_DEPARTED_WORKERS. */
     private final Set<Long> departedWorkers = new LinkedHashSet<>();
-
+    /** Limit of the removed workers that are remembered. */
     private static final int MAX_DEPARTED_WORKERS = 4_096;
-    private final double[] kindSlots = new double[256];
-    private final boolean[] slotsReported = new boolean[256];
-    private final int[] countKey = new int[KEY_BUCKETS];
+    /** Highest number of slots observed, by kind of machine. */
+    private final double[] slotsByKind = new double[256];
+    /** Whether a load report has shown free slots, by kind of machine. */
+    private final boolean[] slotsReportedByKind = new boolean[256];
+
+    private final int[] keyCounts = new int[KEY_BUCKETS];
     private int totalKeys;
     private long lastEventAt = Long.MIN_VALUE;
-    private long valuedAt;
+    private long valuesUpdatedAt;
 
     MarketState(Cold cold) {
         this.cold = cold;
     }
 
-    /** Takes over a worker list, or changes to it. A worker that started anew is a new seller. */
-    void applyWorkerList(boolean whole, List<Worker> entries, Function<Worker, WorkerMarket> seller) {
+    /** Applies a worker list, or changes to one. A worker that has restarted gets a new market. */
+    void applyWorkerList(boolean whole, List<Worker> entries, Function<Worker, WorkerMarket> newMarket) {
         if (whole) {
-            Set<Long> named = new HashSet<>();
-            for (Worker w : entries) {
-                named.add(w.id());
+            Set<Long> listed = new HashSet<>();
+            for (Worker worker : entries) {
+                listed.add(worker.id());
             }
-            markets.removeIf(s -> !named.contains(s.worker.id()) && removeWorker(s));
+            markets.removeIf(market -> !listed.contains(market.worker.id()) && removeWorker(market));
         }
-        for (Worker w : entries) {
-            WorkerMarket s = marketById.get(w.id());
-            if (w.state() == WorkerState.GONE) {
-                if (s != null && removeWorker(s)) {
-                    markets.remove(s);
+        for (Worker worker : entries) {
+            WorkerMarket market = marketById.get(worker.id());
+            if (worker.state() == WorkerState.GONE) {
+                if (market != null && removeWorker(market)) {
+                    markets.remove(market);
                 }
-            } else if (s == null) {
-                WorkerMarket fresh = seller.apply(w);
-                fresh.needsTrialJob = departedWorkers.remove(w.id());
-                markets.add(fresh);
-                marketById.put(w.id(), fresh);
+            } else if (market == null) {
+                WorkerMarket added = newMarket.apply(worker);
+                added.needsTrialJob = departedWorkers.remove(worker.id());
+                markets.add(added);
+                marketById.put(worker.id(), added);
             } else {
-                boolean back = s.needsTrialJob || s.state == WorkerState.DRAINING && w.state() == WorkerState.READY;
-                if (s.worker.startedAt() != w.startedAt()) {
-                    s.state = WorkerState.GONE;
-                    marketById.put(w.id(), seller.apply(w));
-                    markets.set(markets.indexOf(s), marketById.get(w.id()));
+                boolean needsTrialJob = market.needsTrialJob
+                        || market.state == WorkerState.DRAINING && worker.state() == WorkerState.READY;
+                if (market.worker.startedAt() != worker.startedAt()) {
+                    market.state = WorkerState.GONE;
+                    marketById.put(worker.id(), newMarket.apply(worker));
+                    markets.set(markets.indexOf(market), marketById.get(worker.id()));
                 }
-                marketById.get(w.id()).state = w.state();
-                marketById.get(w.id()).needsTrialJob = back;
+                marketById.get(worker.id()).state = worker.state();
+                marketById.get(worker.id()).needsTrialJob = needsTrialJob;
             }
         }
     }
 
-    private boolean removeWorker(WorkerMarket s) {
-        s.state = WorkerState.GONE;
-        marketById.remove(s.worker.id());
-        departedWorkers.add(s.worker.id());
+    private boolean removeWorker(WorkerMarket market) {
+        market.state = WorkerState.GONE;
+        marketById.remove(market.worker.id());
+        departedWorkers.add(market.worker.id());
         if (departedWorkers.size() > MAX_DEPARTED_WORKERS) {
             departedWorkers.remove(departedWorkers.iterator().next());
         }
         return true;
     }
 
-    /** Attempts that ran on for as long as they may take no slots any more. */
+    /** Releases the slots of abandoned attempts that are expected to have ended by now. */
     void expireAbandonedAttempts(long now) {
         abandonedAttempts.removeIf(a -> {
             a.market.outstandingSlots -= now >= a.mayRunUntil ? a.job.slots : 0;
@@ -120,171 +127,185 @@
         });
     }
 
-    /** A worker that is not gone, or null. */
+    /** Returns the market of a listed worker, or null. */
     WorkerMarket market(long worker) {
         return marketById.get(worker);
     }
 
-    LearnedState exportLearned(Commodity[] goods, long now) {
-        List<Double> all = new ArrayList<>();
-        for (Commodity g : goods) {
-            all.addAll(List.of(g.runMicros, g.slotsPerJob, g.requestCount, g.runCount));
-        }
-        for (double slots : Arrays.copyOf(kindSlots, EXPORTED_KINDS)) {
-            all.add(slots);
-        }
-        Map<Long, List<Double>> workers = new HashMap<>();
-        for (WorkerMarket s : markets) {
-            List<Double> its = new ArrayList<>(List.of(
-                    s.runTimeRatio,
-                    s.runSamples,
-                    s.slotShare,
-                    (double) s.minStartDelay,
-                    (double) s.recentErrors,
-                    (double) s.failuresInRow,
-                    (double) Math.max(0, s.backoffUntil - now)));
-            for (double price : s.price) {
-                its.add(price);
+    LearnedState exportLearned(Commodity[] commodities, long now) {
+        List<Double> shared = new ArrayList<>();
+        for (Commodity commodity : commodities) {
+            shared.addAll(
+                    List.of(commodity.runMicros, commodity.slotsPerJob, commodity.requestCount, commodity.runCount));
+        }
+        for (double slots : Arrays.copyOf(slotsByKind, EXPORTED_KINDS)) {
+            shared.add(slots);
+        }
+        Map<Long, List<Double>> byWorker = new HashMap<>();
+        for (WorkerMarket market : markets) {
+            List<Double> figures = new ArrayList<>(List.of(
+                    market.runTimeRatio,
+                    market.runSamples,
+                    market.slotShare,
+                    (double) market.minStartDelay,
+                    (double) market.recentErrors,
+                    (double) market.failuresInRow,
+                    (double) Math.max(0, market.backoffUntil - now)));
+            for (double price : market.price) {
+                figures.add(price);
             }
-            workers.put(s.worker.id(), its);
+            byWorker.put(market.worker.id(), figures);
         }
-        return new LearnedState(all, workers);
+        return new LearnedState(shared, byWorker);
     }
 
-    void importLearned(LearnedState learned, Commodity[] goods, long now) {
-        if (learned.shared().size() == goods.length * 4 + EXPORTED_KINDS) {
-            Iterator<Double> all = learned.shared().iterator();
-            for (Commodity g : goods) {
-                g.runMicros = all.next();
-                g.slotsPerJob = all.next();
-                g.requestCount = all.next();
-                g.runCount = all.next();
+    void importLearned(LearnedState learned, Commodity[] commodities, long now) {
+        if (learned.shared().size() == commodities.length * 4 + EXPORTED_KINDS) {
+            Iterator<Double> shared = learned.shared().iterator();
+            for (Commodity commodity : commodities) {
+                commodity.runMicros = shared.next();
+                commodity.slotsPerJob = shared.next();
+                commodity.requestCount = shared.next();
+                commodity.runCount = shared.next();
             }
             for (int kind = 0; kind < EXPORTED_KINDS; kind++) {
-                kindSlots[kind] = Math.max(kindSlots[kind], all.next());
+                slotsByKind[kind] = Math.max(slotsByKind[kind], shared.next());
             }
         }
         learned.byWorker().forEach((id, figures) -> {
-            WorkerMarket s = marketById.get(id);
-            if (s != null && figures.size() == 7 + goods.length) {
-                Iterator<Double> its = figures.iterator();
-                s.runTimeRatio = its.next();
-                s.runSamples = its.next();
-                s.slotShare = its.next();
-                s.minStartDelay = its.next().longValue();
-                s.recentErrors = its.next().intValue();
-                s.failuresInRow = its.next().intValue();
-                s.backoffUntil = now + its.next().longValue();
-                for (int good = 0; good < goods.length; good++) {
-                    s.price[good] = its.next();
+            WorkerMarket market = marketById.get(id);
+            if (market != null && figures.size() == 7 + commodities.length) {
+                Iterator<Double> values = figures.iterator();
+                market.runTimeRatio = values.next();
+                market.runSamples = values.next();
+                market.slotShare = values.next();
+                market.minStartDelay = values.next().longValue();
+                market.recentErrors = values.next().intValue();
+                market.failuresInRow = values.next().intValue();
+                market.backoffUntil = now + values.next().longValue();
+                for (int index = 0; index < commodities.length; index++) {
+                    market.price[index] = values.next();
                 }
             }
         });
     }
 
-    /** Events come in the order of time. */
+    /** Advances the clock to the time of an event; an event earlier than the one before it is rejected. */
     void advanceClock(long now) {
         if (now < lastEventAt) {
-            throw new IllegalArgumentException("the clock went back from " + lastEventAt + " to " + now);
+            throw new IllegalArgumentException("event time went back from " + lastEventAt + " to " + now);
         }
         lastEventAt = now;
     }
 
-    /** The most slots seen in use or reported free at workers of the kind, one at least. */
-    double slotCapacity(WorkerMarket s) {
-        return Math.max(1, kindSlots[s.worker.kind() & 0xff]);
+    /** The highest number of slots observed in use or reported free at workers of this kind, at least one. */
+    double slotCapacity(WorkerMarket market) {
+        return Math.max(1, slotsByKind[market.worker.kind() & 0xff]);
     }
 
-    void observeSlots(WorkerMarket s, double slots) {
-        int kind = s.worker.kind() & 0xff;
-        kindSlots[kind] = Math.max(kindSlots[kind], Math.rint(slots));
+    void observeSlots(WorkerMarket market, double slots) {
+        int kind = market.worker.kind() & 0xff;
+        slotsByKind[kind] = Math.max(slotsByKind[kind], Math.rint(slots));
     }
 
     void countKey(long key) {
-        countKey[(int) (mix(key) & KEY_BUCKETS - 1)]++;
+        keyCounts[(int) (mix(key) & KEY_BUCKETS - 1)]++;
         totalKeys++;
     }
 
-    /** The part of all jobs so far that were about a key, and the few that share its cell. */
+    /** The fraction of requests so far for this key, or for the keys that share its bucket. */
     double keyFraction(long key) {
-        return (double) countKey[(int) (mix(key) & KEY_BUCKETS - 1)] / Math.max(1, totalKeys);
+        return (double) keyCounts[(int) (mix(key) & KEY_BUCKETS - 1)] / Math.max(1, totalKeys);
     }
 
-    /** The part of its capacity that a worker has at least, warming as slowly as is allowed. */
-    double warmUpFraction(WorkerMarket s, long now) {
-        double age = s.worker.startedAt() > 0 ? now - s.worker.startedAt() : cold.warmUp();
+    /**
+     * The fraction of its capacity that a worker has at least, at the slowest warm-up that the settings
+     * allow.
+     */
+    double warmUpFraction(WorkerMarket market, long now) {
+        double age = market.worker.startedAt() > 0 ? now - market.worker.startedAt() : cold.warmUp();
         return age < cold.warmUp() ? cold.initialFraction() + (1 - cold.initialFraction()) * age / cold.warmUp() : 1;
     }
 
     /**
-     * The chance that a worker must fetch what a job is about. Every dispatcher ranks the workers for a key
-     * by the same hash, so the first in that order keep it; one in demand is kept by as many as it busies.
+     * The probability that a worker has to fetch the data of a job's key. Every dispatcher ranks the workers
+     * for a key by the same hash, so the first in that order have the key cached; a key in high demand is
+     * cached by as many workers as it occupies.
      */
-    double missProbability(WorkerMarket s, long key) {
-        double place = (mix(mix(key) ^ s.worker.globalId()) >>> 11) * 0x1p-53 * markets.size();
-        return key == 0 ? 0 : Math.min(1, place / (2 + 2 * keyFraction(key) * markets.size()));
+    double missProbability(WorkerMarket market, long key) {
+        double rank = (mix(mix(key) ^ market.worker.globalId()) >>> 11) * 0x1p-53 * markets.size();
+        return key == 0 ? 0 : Math.min(1, rank / (2 + 2 * keyFraction(key) * markets.size()));
     }
 
-    /** What a finished job teaches of its worker's pace, its good's run time, hints and fetching. */
-    void learnFromRun(JobAttempt a, double took) {
-        WorkerMarket s = a.market;
-        Commodity g = a.job.commodity;
-        s.runSamples++;
+    /**
+     * Updates the worker's run-time ratio, the commodity's run time, the hint statistics and the fetch time
+     * from a completed job.
+     */
+    void learnFromRun(JobAttempt a, double elapsed) {
+        WorkerMarket market = a.market;
+        Commodity commodity = a.job.commodity;
+        market.runSamples++;
         fetchMicros = Math.max(
                 0,
                 fetchMicros
                         + a.missProbability
-                                * (took - g.runMicros * s.runTimeRatio - fetchMicros * a.missProbability)
+                                * (elapsed
+                                        - commodity.runMicros * market.runTimeRatio
+                                        - fetchMicros * a.missProbability)
                                 / RUN_SAMPLES);
-        double run = Math.max(MIN_RUN_MICROS, took - fetchMicros * a.missProbability);
-        g.learnHint(a.job.hint, run / (g.runMicros * s.runTimeRatio));
-        run /= a.job.sizeFactor;
-        double learned = (run - g.runMicros * s.runTimeRatio)
-                / Math.max(1, s.runTimeRatio)
-                / Math.min(RUN_SAMPLES, ++g.runCount);
-        g.runMicros = Math.max(MIN_RUN_MICROS, g.runMicros + learned);
-        s.runTimeRatio += (run / g.runMicros - s.runTimeRatio) / Math.min(PACE_SAMPLES, s.runSamples + 1);
-    }
-
-    /** A job is over. What is over its tenant's share is worth little to the goal, and counts for nothing. */
-    void recordService(PendingJob job, Objective goal, boolean inTime) {
+        double runMicros = Math.max(MIN_RUN_MICROS, elapsed - fetchMicros * a.missProbability);
+        commodity.learnHint(a.job.workHint, runMicros / (commodity.runMicros * market.runTimeRatio));
+        runMicros /= a.job.sizeFactor;
+        double learned = (runMicros - commodity.runMicros * market.runTimeRatio)
+                / Math.max(1, market.runTimeRatio)
+                / Math.min(RUN_SAMPLES, ++commodity.runCount);
+        commodity.runMicros = Math.max(MIN_RUN_MICROS, commodity.runMicros + learned);
+        market.runTimeRatio += (runMicros / commodity.runMicros - market.runTimeRatio)
+                / Math.min(RATIO_SAMPLES, market.runSamples + 1);
+    }
+
+    /**
+     * Counts a finished job towards the service of its class. Jobs over their tenant's share are excluded,
+     * because they have little value in the objective.
+     */
+    void recordService(PendingJob job, Objective objective, boolean servedInTime) {
         double work = job.commodity.runMicros * job.sizeFactor * job.slots;
-        double worth = job.finished || job.overShare ? 0 : goal.weightByWork() ? work : 1;
-        job.commodity.asked += worth;
-        job.commodity.recentServed += inTime ? worth : 0;
+        double weight = job.finished || job.overShare ? 0 : objective.weightByWork() ? work : 1;
+        job.commodity.recentDemand += weight;
+        job.commodity.recentServed += servedInTime ? weight : 0;
     }
 
     void recordSent(JobAttempt a) {
         PendingJob job = a.job;
-        WorkerMarket s = a.market;
+        WorkerMarket market = a.market;
         job.attempts.add(a);
         job.openAttempts++;
         job.held = false;
-        s.needsTrialJob = false;
-        s.credit -= a.expectedMicros * job.slots;
-        s.freeSlots -= job.slots;
-        s.outstandingSlots += job.slots;
-        s.freeMemory -= job.memory;
+        market.needsTrialJob = false;
+        market.credit -= a.expectedMicros * job.slots;
+        market.freeSlots -= job.slots;
+        market.outstandingSlots += job.slots;
+        market.freeMemory -= job.memory;
     }
 
     void recordStarted(JobAttempt a, long now) {
-        WorkerMarket s = a.market;
+        WorkerMarket market = a.market;
         a.startedAt = now;
         startDelays.observe(now - a.sentAt, true);
-        s.resetFailures(now);
-        s.runningSlots += a.job.slots;
-        observeSlots(s, s.runningSlots);
-        s.minStartDelay = Math.min(s.minStartDelay, now - a.sentAt);
+        market.resetFailures(now);
+        market.runningSlots += a.job.slots;
+        observeSlots(market, market.runningSlots);
+        market.minStartDelay = Math.min(market.minStartDelay, now - a.sentAt);
     }
 
     /**
-     * An attempt has its outcome. Danger: one that was called off, or is not waited for any more, may run on:
-     * taken for gone, the slots that it holds would be sold a second time.
+     * Records the outcome of an attempt. An attempt that was cancelled or timed out may still run; its slots
+     * stay reserved, since they would be sold twice if they were released at once.
      *
-     * @param runsOnUntil when it is likely to be done, if it does
+     * @param mayRunUntil when the attempt is expected to end if it still runs
      */
-    void recordEnded(JobAttempt a, long now, Outcome outcome, long runsOnUntil) {
-        WorkerMarket s = a.market;
+    void recordEnded(JobAttempt a, long now, Outcome outcome, long mayRunUntil) {
+        WorkerMarket market = a.market;
         a.ended = true;
         a.neverRan = outcome.neverRan;
         a.job.openAttempts--;
@@ -292,133 +313,143 @@
             startDelays.observe(now - a.sentAt, outcome == Outcome.SERVED);
         }
         if (outcome == Outcome.CANCELLED || outcome == Outcome.TIMEOUT) {
-            a.mayRunUntil = runsOnUntil;
+            a.mayRunUntil = mayRunUntil;
             abandonedAttempts.add(a);
         } else {
-            s.outstandingSlots -= a.job.slots;
+            market.outstandingSlots -= a.job.slots;
         }
-        s.runningSlots -= a.startedAt > 0 ? a.job.slots : 0;
-        s.errorRate += outcome == Outcome.ERROR
-                ? (1 - s.errorRate) / PACE_SAMPLES
-                : outcome == Outcome.SERVED ? -s.errorRate / PACE_SAMPLES : 0;
+        market.runningSlots -= a.startedAt > 0 ? a.job.slots : 0;
+        market.errorRate += outcome == Outcome.ERROR
+                ? (1 - market.errorRate) / RATIO_SAMPLES
+                : outcome == Outcome.SERVED ? -market.errorRate / RATIO_SAMPLES : 0;
     }
 
-    /** What a worker tells of its room; NaN where it does not. */
-    void recordLoadReport(WorkerMarket s, long now, double freeSlots, double freeMemory) {
+    /** Takes in a worker's load report; NaN where it reports nothing. */
+    void recordLoadReport(WorkerMarket market, long now, double freeSlots, double freeMemory) {
         if (!Double.isNaN(freeSlots)) {
-            s.freeSlots = freeSlots;
-            s.freeMemory = freeMemory;
-            s.reportedAt = now;
-            observeSlots(s, freeSlots);
-            slotsReported[s.worker.kind() & 0xff] |= freeSlots >= 1;
-            s.peerSlots +=
-                    BUSY_SMOOTHING * (Math.max(0, slotCapacity(s) - freeSlots - s.outstandingSlots) - s.peerSlots);
+            market.freeSlots = freeSlots;
+            market.freeMemory = freeMemory;
+            market.reportedAt = now;
+            observeSlots(market, freeSlots);
+            slotsReportedByKind[market.worker.kind() & 0xff] |= freeSlots >= 1;
+            market.peerSlots += PEER_SLOTS_SMOOTHING
+                    * (Math.max(0, slotCapacity(market) - freeSlots - market.outstandingSlots) - market.peerSlots);
         }
     }
 
-    /** What the others tell of their own jobs goes before reports, as long as any is heard. */
+    /**
+     * Uses the load that other dispatchers announce in place of load reports, as long as any announcement is
+     * current.
+     */
     void applyPeerLoad(Gossip gossip) {
-        for (WorkerMarket s : markets) {
-            s.peerSlots = gossip.peerCount() > 0 ? gossip.slotsTakenByPeers(s.worker.globalId()) : s.peerSlots;
+        for (WorkerMarket market : markets) {
+            market.peerSlots =
+                    gossip.peerCount() > 0 ? gossip.slotsTakenByPeers(market.worker.globalId()) : market.peerSlots;
         }
     }
 
-    /** What the others are told of own jobs at workers. */
+    /** The message that announces to other dispatchers the slots that own jobs hold at each worker. */
     byte[] peerMessage(Gossip gossip, double[] perSecond) {
         List<WorkerMarket> used =
-                markets.stream().filter(s -> s.outstandingSlots > 0).toList();
+                markets.stream().filter(market -> market.outstandingSlots > 0).toList();
         return gossip.nextMessage(
-                used.stream().mapToLong(s -> s.worker.globalId()).toArray(),
-                used.stream().mapToDouble(s -> s.outstandingSlots).toArray(),
+                used.stream().mapToLong(market -> market.worker.globalId()).toArray(),
+                used.stream().mapToDouble(market -> market.outstandingSlots).toArray(),
                 perSecond);
     }
 
     /**
-     * Ready workers, as many as asked for, that were not probed for the longest time; of kinds alone of which
-     * no report has told slots yet, where that is asked for.
+     * Up to {@code count} ready workers that have not been probed for the longest time; optionally only those
+     * of kinds for which no report has shown slots yet.
      */
-    List<WorkerMarket> leastRecentlyProbed(int count, boolean untold) {
+    List<WorkerMarket> leastRecentlyProbed(int count, boolean onlyUnreportedKinds) {
         return count < 1
                 ? List.of()
                 : markets.stream()
-                        .filter(s -> s.state == WorkerState.READY && !(untold && slotsReported[s.worker.kind() & 0xff]))
-                        .sorted(Comparator.comparingLong(s -> s.probedAt))
+                        .filter(market -> market.state == WorkerState.READY
+                                && !(onlyUnreportedKinds && slotsReportedByKind[market.worker.kind() & 0xff]))
+                        .sorted(Comparator.comparingLong(market -> market.probedAt))
                         .limit(count)
                         .toList();
     }
 
     /**
-     * The chance that a copy saves a job's worth: it begins too late to end in time where it waits, and not
-     * elsewhere, by how long others waited of late. A client's repeat counts as late a little sooner.
+     * The probability that a second attempt preserves the job's value: the first one starts too late to end
+     * in time, and the second one does not, by the observed start delays. A job that a client sent again
+     * counts as late a little sooner.
      */
     double hedgeBenefit(JobAttempt a, long now) {
-        long latest = 2 * a.job.latestFullValueStart - a.job.arrivedAt;
-        return startDelays.probabilityNotStarted(now - a.sentAt, latest - a.sentAt)
-                * (1 - startDelays.probabilityNotStarted(0, latest - now));
+        long latestStart = 2 * a.job.latestFullValueStart - a.job.arrivedAt;
+        return startDelays.probabilityNotStarted(now - a.sentAt, latestStart - a.sentAt)
+                * (1 - startDelays.probabilityNotStarted(0, latestStart - now));
     }
 
-    /** Slot-seconds (in microseconds) of the average job so far at average speed. */
-    double meanCost(Commodity[] goods) {
-        return mean(goods, Commodity::cost);
+    /** Mean cost of the jobs so far in slot-microseconds, at the average worker's speed. */
+    double meanCost(Commodity[] commodities) {
+        return mean(commodities, Commodity::cost);
     }
 
-    /** What the average job so far is worth, as the goal counts it. */
-    double meanValue(Commodity[] goods) {
-        return mean(goods, g -> g.weightedValue);
+    /** Mean value of the jobs so far, weighted by the objective. */
+    double meanValue(Commodity[] commodities) {
+        return mean(commodities, commodity -> commodity.weightedValue);
     }
 
-    private static double mean(Commodity[] goods, ToDoubleFunction<Commodity> of) {
+    private static double mean(Commodity[] commodities, ToDoubleFunction<Commodity> figure) {
         double sum = 0;
         double requests = 0;
-        for (Commodity g : goods) {
-            sum += g.requestCount * of.applyAsDouble(g);
-            requests += g.requestCount;
+        for (Commodity commodity : commodities) {
+            sum += commodity.requestCount * figure.applyAsDouble(commodity);
+            requests += commodity.requestCount;
         }
         return sum / Math.max(1, requests);
     }
 
     /**
-     * What a job of each good is worth by the goal: its class's worth, by work where that counts, and more
-     * for the class that is served worst. Which one that is blurs within a tenth of its service.
+     * Updates the value of each commodity by the objective: the value of its class, scaled by work where the
+     * objective counts work, plus a bonus for the worst-served class. The worst-served class is a soft minimum:
+     * classes whose service rates are close share the bonus.
      */
-    void updateValues(Commodity[] goods, Objective goal, long now) {
-        double fade = Math.exp((valuedAt - now) / SERVICE_DECAY_MICROS);
-        valuedAt = now;
-        int classes = goods.length / WIDTH_BANDS;
-        double[] asked = new double[classes];
-        double[] behind = new double[classes];
-        double all = 0;
-        double sum = 0;
-        for (int c = 0; c < classes; c++) {
-            double got = 0;
-            for (int w = 0; w < WIDTH_BANDS; w++) {
-                Commodity g = goods[c * WIDTH_BANDS + w];
-                g.asked *= fade;
-                g.recentServed *= fade;
-                asked[c] += g.asked * g.jobClass.value();
-                got += g.recentServed * g.jobClass.value();
+    void updateValues(Commodity[] commodities, Objective objective, long now) {
+        double decay = Math.exp((valuesUpdatedAt - now) / SERVICE_DECAY_MICROS);
+        valuesUpdatedAt = now;
+        int classes = commodities.length / WIDTH_BANDS;
+        double[] demand = new double[classes];
+        double[] lag = new double[classes];
+        double totalDemand = 0;
+        double lagSum = 0;
+        for (int classIndex = 0; classIndex < classes; classIndex++) {
+            double served = 0;
+            for (int width = 0; width < WIDTH_BANDS; width++) {
+                Commodity commodity = commodities[classIndex * WIDTH_BANDS + width];
+                commodity.recentDemand *= decay;
+                commodity.recentServed *= decay;
+                demand[classIndex] += commodity.recentDemand * commodity.jobClass.value();
+                served += commodity.recentServed * commodity.jobClass.value();
             }
-            all += asked[c];
-            behind[c] = asked[c] <= 0 ? 0 : Math.exp(-got / asked[c] / WORST_CLASS_BLUR);
-            sum += behind[c];
+            totalDemand += demand[classIndex];
+            lag[classIndex] = demand[classIndex] <= 0 ? 0 : Math.exp(-served / demand[classIndex] / WORST_CLASS_BLUR);
+            lagSum += lag[classIndex];
         }
-        double mean = goal.weightByWork() ? Math.max(1, meanCost(goods)) : 1;
-        for (Commodity g : goods) {
-            int c = g.index / WIDTH_BANDS;
-            double worst = asked[c] <= 0 ? 0 : goal.worstClassWeight() * behind[c] / sum * all / asked[c];
-            g.weightedValue =
-                    g.jobClass.value() * (goal.weightByWork() ? g.cost() / mean : 1) * (goal.overallWeight() + worst);
+        double meanCost = objective.weightByWork() ? Math.max(1, meanCost(commodities)) : 1;
+        for (Commodity commodity : commodities) {
+            int classIndex = commodity.index / WIDTH_BANDS;
+            double worstClassBonus = demand[classIndex] <= 0
+                    ? 0
+                    : objective.worstClassWeight() * lag[classIndex] / lagSum * totalDemand / demand[classIndex];
+            commodity.weightedValue = commodity.jobClass.value()
+                    * (objective.weightByWork() ? commodity.cost() / meanCost : 1)
+                    * (objective.overallWeight() + worstClassBonus);
         }
     }
 
-    /** A well-mixed hash of a number, the same in every process. */
+    /** A 64-bit mixing hash that gives the same result in every process. */
     static long mix(long z) {
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
         return z ^ z >>> 31;
     }
 
-    /** An attempt that is still out, or null. */
+    /** Returns an attempt that has not ended, or null. */
     JobAttempt openAttempt(long request, int number) {
         PendingJob job = jobs.get(request);
         if (job == null || number < 0 || number >= job.attempts.size() || job.attempts.get(number).ended) {
@@ -427,120 +458,137 @@
         return job.attempts.get(number);
     }
 
-    /** A private class of jobs, one class of one width, with what the fleet was seen to need for it. */
+    /**
+     * What a market trades: the jobs of one class and one width, with the resources that they were observed
+     * to need.
+     */
     static final class Commodity {
-        /** Hints count for little until they were seen to vary; a job is at most so many times the mean. */
+        /**
+         * Prior variance of hints: until hints are seen to vary by more, they have little influence on the
+         * size of a job.
+         */
         private static final double HINT_VARIANCE_PRIOR = 0.02;
-
+        /** Highest size of a job relative to the mean one; its inverse is the lowest. */
         private static final double MAX_SIZE_FACTOR = 4;
+
         final JobClass jobClass;
         final int index;
-        /** Learned run time at average speed, microseconds. */
+        /** Learned run time at the average worker's speed, microseconds. */
         double runMicros;
-        /** Learned slots a job. */
+        /** Learned mean number of slots per job. */
         double slotsPerJob = 1;
 
         double requestCount;
         double runCount;
-        /** A job's worth as the goal counts it, on average over the goods' jobs that of the class. */
+        /** Mean value of a job as weighted by the objective; it replaces the value of the class. */
         double weightedValue;
-        /** What was asked of late, counted as worth is, and the part of it that was served in time. */
-        double asked;
-
+        /** Recent demand, weighted as the objective counts value. */
+        double recentDemand;
+        /** The part of the recent demand that was served in time. */
         double recentServed;
-        /** The mean hint, and how far runs follow hints: moments of both about their means. */
+        /** Mean of the hints. */
         double meanHint;
-
+        /** Variance of the hints relative to their mean. */
         double hintVariance;
+        /** Covariance of relative hints and relative run times. */
         double hintRunCovariance;
+        /** The last round of filling quotas in which this commodity was considered. */
         long fillRound;
 
-        Commodity(JobClass of, int index) {
-            this.jobClass = of;
+        Commodity(JobClass jobClass, int index) {
+            this.jobClass = jobClass;
             this.index = index;
-            runMicros = of.targetTime();
-            weightedValue = of.value();
+            runMicros = jobClass.targetTime();
+            weightedValue = jobClass.value();
         }
 
-        /** How much longer than the mean a job with this hint is likely to run; 1 where there is none. */
-        double sizeFactor(long hinted) {
-            if (hinted <= 0 || meanHint <= 0) {
+        /** Estimated run time of a job with this hint relative to the mean one; 1 without a hint. */
+        double sizeFactor(long jobHint) {
+            if (jobHint <= 0 || meanHint <= 0) {
                 return 1;
             }
-            double follows = Math.max(0, Math.min(1, hintRunCovariance / (hintVariance + HINT_VARIANCE_PRIOR)));
-            return Math.max(1 / MAX_SIZE_FACTOR, Math.min(MAX_SIZE_FACTOR, 1 + follows * (hinted / meanHint - 1)));
+            double hintWeight = Math.max(0, Math.min(1, hintRunCovariance / (hintVariance + HINT_VARIANCE_PRIOR)));
+            return Math.max(1 / MAX_SIZE_FACTOR, Math.min(MAX_SIZE_FACTOR, 1 + hintWeight * (jobHint / meanHint - 1)));
         }
 
-        /** A job was asked for. */
-        void asked(double taken, long hinted) {
-            slotsPerJob += (taken - slotsPerJob) / Math.min(RUN_SAMPLES, ++requestCount);
-            meanHint += hinted > 0 ? (hinted - meanHint) / Math.min(RUN_SAMPLES, requestCount) : 0;
+        /** Updates the mean slots and the mean hint from a new request. */
+        void recordRequest(double jobSlots, long jobHint) {
+            slotsPerJob += (jobSlots - slotsPerJob) / Math.min(RUN_SAMPLES, ++requestCount);
+            meanHint += jobHint > 0 ? (jobHint - meanHint) / Math.min(RUN_SAMPLES, requestCount) : 0;
         }
 
-        /** What a finished job teaches of hints: {@code relative} is its run over the mean one. */
-        void learnHint(long hinted, double relative) {
-            if (hinted > 0 && meanHint > 0) {
-                double memory = Math.min(RUN_SAMPLES, runCount + 1);
-                double x = Math.max(-1, Math.min(MAX_SIZE_FACTOR, hinted / meanHint - 1));
-                hintVariance += (x * x - hintVariance) / memory;
-                hintRunCovariance += (x * (Math.min(MAX_SIZE_FACTOR, relative) - 1) - hintRunCovariance) / memory;
+        /**
+         * Updates the hint statistics from a completed job; {@code relativeRun} is its run time over the mean
+         * one.
+         */
+        void learnHint(long jobHint, double relativeRun) {
+            if (jobHint > 0 && meanHint > 0) {
+                double samples = Math.min(RUN_SAMPLES, runCount + 1);
+                double deviation = Math.max(-1, Math.min(MAX_SIZE_FACTOR, jobHint / meanHint - 1));
+                hintVariance += (deviation * deviation - hintVariance) / samples;
+                hintRunCovariance +=
+                        (deviation * (Math.min(MAX_SIZE_FACTOR, relativeRun) - 1) - hintRunCovariance) / samples;
             }
         }
 
-        /** How long a job of the mean run time may take for its full worth, microseconds. */
+        /** Time in which a job of mean run time has to be answered for its full value, microseconds. */
         double fullValueMicros() {
             return jobClass.targetTime() + jobClass.runTimeFactor() * runMicros;
         }
 
-        /** Slot-seconds (in microseconds) of a job at average speed. */
+        /** Mean cost of a job in slot-microseconds, at the average worker's speed. */
         double cost() {
             return runMicros * slotsPerJob;
         }
     }
 
-    /** A worker as a seller in this dispatcher's market. */
+    /** The market of one worker: prices, quotas and credit, and what was observed of the worker. */
     static final class WorkerMarket {
         final Worker worker;
-        /** By good, over the good's value. */
+        /** Price of each commodity, relative to the commodity's value. */
         final double[] price;
 
         final int[] quota;
-        /** This dispatcher's own order among equals. */
+        /**
+         * Random number that breaks ties between workers and selects the workers that are traded with; it
+         * differs between dispatchers.
+         */
         final double tieBreak;
 
         WorkerState state;
-        /** Learned run time against the average worker's. */
+        /** Learned run time relative to the average worker's; above 1 is slower. */
         double runTimeRatio = 1;
 
         double runSamples;
         /** Slots that this dispatcher may keep busy, on average. */
         double slotShare;
-        /** Unused slot-seconds (in microseconds). */
+        /** Slot-microseconds that remain unsold. */
         double credit;
-        /** Slots of own jobs that run. */
+        /** Slots of own jobs that have started. */
         double runningSlots;
-        /** Slots of own jobs sent there and not ended. */
+        /** Slots of own jobs that were sent and have not ended. */
         double outstandingSlots;
-        /** Slots that others' jobs take, by reports. */
+        /** Slots of other dispatchers' jobs, by load reports or by their announcements. */
         double peerSlots;
-        /** An own job waits there to start. */
+        /** An own job is waiting there to start. */
         boolean queueing;
-        /** How long the last own job waited there to start, and when that was known. */
+        /** Start delay of the latest own job, microseconds; 0 if it started promptly. */
         double lastStartDelay;
-
+        /** When the start delay was observed. */
         long lastStartDelayAt;
+
         int failuresInRow;
-        /** It was put back to work and has had no job since. */
+        /** The worker came back into service and has received no job since. */
         boolean needsTrialJob;
-        /** Jobs that failed there of late, after their start or not; a served one halves it. */
+        /** Recent jobs that failed, before or after their start; halved by each served job. */
         int recentErrors;
-        /** The part of its last jobs that failed there. */
+        /** Moving average of the fraction of jobs that failed. */
         double errorRate;
 
         long backoffUntil;
-        /** Until then a quota drawn for a cold worker stands. */
+        /** Time until which a quota drawn for a cold worker stays valid. */
         long coldQuotaUntil;
-        /** The shortest time that a start notice took. */
+        /** The shortest time from sending a job to its start notice, microseconds. */
         long minStartDelay;
 
         double freeSlots;
@@ -548,34 +596,38 @@
         long reportedAt = Long.MIN_VALUE / 2;
         long probedAt = Long.MIN_VALUE / 2;
 
-        WorkerMarket(Worker worker, Commodity[] goods, double tie, long reach) {
+        WorkerMarket(Worker worker, Commodity[] commodities, double tieBreak, long minStartDelay) {
             this.worker = worker;
-            this.tieBreak = tie;
-            this.minStartDelay = reach;
+            this.tieBreak = tieBreak;
+            this.minStartDelay = minStartDelay;
             state = worker.state();
-            price = new double[goods.length];
-            quota = new int[goods.length];
-            for (Commodity g : goods) {
-                price[g.index] = 1;
+            price = new double[commodities.length];
+            quota = new int[commodities.length];
+            for (Commodity commodity : commodities) {
+                price[commodity.index] = 1;
             }
         }
 
-        double cost(Commodity g) {
-            return g.cost() * runTimeRatio;
+        double cost(Commodity commodity) {
+            return commodity.cost() * runTimeRatio;
         }
 
         /**
-         * What a job of the good takes here, for budgets that must not be gone over. Danger: short jobs end
-         * first, so the few that have ended make a good look cheaper, and a worker quicker, than they are.
-         * Until more are known they count for little beside the class's aim and the average speed.
+         * A conservative estimate of a job's cost, for budgets that must not be exceeded. Short jobs end
+         * first, so the first completions make a commodity look cheaper and a worker faster than they are.
+         * The estimate therefore shrinks small samples towards the class's target time and the average speed.
          */
-        double conservativeCost(Commodity g) {
-            double run = Math.max(g.runMicros, shrinkToPrior(g.runMicros, g.runCount, g.jobClass.targetTime()));
-            return run * g.slotsPerJob * Math.max(runTimeRatio, shrinkToPrior(runTimeRatio, runSamples, 1));
+        double conservativeCost(Commodity commodity) {
+            double runMicros = Math.max(
+                    commodity.runMicros,
+                    shrinkToPrior(commodity.runMicros, commodity.runCount, commodity.jobClass.targetTime()));
+            return runMicros
+                    * commodity.slotsPerJob
+                    * Math.max(runTimeRatio, shrinkToPrior(runTimeRatio, runSamples, 1));
         }
 
-        private static double shrinkToPrior(double learned, double samples, double before) {
-            return (learned * samples + before * PACE_SAMPLES) / (samples + PACE_SAMPLES);
+        private static double shrinkToPrior(double learned, double samples, double prior) {
+            return (learned * samples + prior * RATIO_SAMPLES) / (samples + RATIO_SAMPLES);
         }
 
         void resetFailures(long now) {
@@ -583,22 +635,22 @@
             backoffUntil = recentErrors > 0 ? backoffUntil : now;
         }
 
-        /** A price moves within a span of the good's value, and not below the floor. */
-        void adjustPrice(Commodity g, double factor, double floor, double span) {
-            price[g.index] = Math.max(floor, Math.min(span, price[g.index] * Math.max(0, factor)));
+        /** Multiplies a price by a factor, limited to the range from {@code floor} to {@code max}. */
+        void adjustPrice(Commodity commodity, double factor, double floor, double max) {
+            price[commodity.index] = Math.max(floor, Math.min(max, price[commodity.index] * Math.max(0, factor)));
         }
 
-        /** One job of the quota is gone, or all of it where one job was all it could sell. */
-        void consumeQuota(Commodity g, boolean all) {
-            quota[g.index]--;
-            if (all) {
+        /** Uses up one job of the quota, or clears all quotas where the worker could sell a single job only. */
+        void consumeQuota(Commodity commodity, boolean clear) {
+            quota[commodity.index]--;
+            if (clear) {
                 clearQuotas();
             }
         }
 
         boolean quotaExhausted() {
-            for (int left : quota) {
-                if (left > 0) {
+            for (int remaining : quota) {
+                if (remaining > 0) {
                     return false;
                 }
             }
@@ -610,7 +662,7 @@
         }
     }
 
-    /** A job that a client waits for. */
+    /** A job that a client is waiting for. */
     static final class PendingJob {
         final long id;
         final long arrivedAt;
@@ -620,7 +672,7 @@
         final double memory;
         final double value;
         final boolean overShare;
-        /** Latest time to start for the full worth, as far as is known. */
+        /** Estimated latest time to start for the full value. */
         final long latestFullValueStart;
 
         final long deadline;
@@ -629,81 +681,84 @@
         int openAttempts;
         boolean finished;
         boolean held;
-        /** A rough guess at its work, microseconds of a standard core; 0 for none. */
-        final long hint;
-        /** Its likely run over the mean one of its good. */
+        /** Estimate of its work given by the client, microseconds of a standard core; 0 for none. */
+        final long workHint;
+        /** Estimated run time relative to the mean one of its commodity. */
         final double sizeFactor;
-
+        /** Value per slot-microsecond as of the current period; orders the held jobs. */
         double bid;
 
         PendingJob(
                 long id,
-                long arrived,
-                Commodity good,
+                long arrivedAt,
+                Commodity commodity,
                 long key,
                 double slots,
                 double memory,
-                double worth,
+                double value,
                 boolean overShare,
-                long bestBy,
+                long latestFullValueStart,
                 long deadline,
-                Effect atLeast,
-                long hint,
-                double size) {
-            this.hint = hint;
-            this.sizeFactor = size;
+                Effect minEffect,
+                long workHint,
+                double sizeFactor) {
+            this.workHint = workHint;
+            this.sizeFactor = sizeFactor;
             this.id = id;
-            this.arrivedAt = arrived;
-            this.commodity = good;
+            this.arrivedAt = arrivedAt;
+            this.commodity = commodity;
             this.key = key;
             this.slots = slots;
             this.memory = memory;
-            this.value = worth;
+            this.value = value;
             this.overShare = overShare;
-            this.latestFullValueStart = bestBy;
+            this.latestFullValueStart = latestFullValueStart;
             this.deadline = deadline;
-            Effect usual = good.jobClass.effect();
-            effect = atLeast.compareTo(usual) > 0 ? atLeast : usual;
+            Effect classEffect = commodity.jobClass.effect();
+            effect = minEffect.compareTo(classEffect) > 0 ? minEffect : classEffect;
         }
 
         double valueAt(long now) {
             return now <= latestFullValueStart ? value : value * commodity.jobClass.lateValueFactor();
         }
 
-        /** What it is worth by the slot-second, as the goal counts it. */
-        double bid(Objective goal, long now) {
+        /** Value per slot-microsecond, as weighted by the objective. */
+        double bid(Objective objective, long now) {
             return valueAt(now)
                     / commodity.jobClass.value()
                     * commodity.weightedValue
-                    * (goal.weightByWork() ? 1 : 1 / sizeFactor)
+                    * (objective.weightByWork() ? 1 : 1 / sizeFactor)
                     / (slots * commodity.runMicros);
         }
 
-        /** The number of the other attempt that is still out, or -1. */
-        int otherOpenAttempt(JobAttempt than) {
+        /** The number of another attempt that has not ended, or -1. */
+        int otherOpenAttempt(JobAttempt attempt) {
             for (int i = 0; i < attempts.size(); i++) {
-                if (attempts.get(i) != than && !attempts.get(i).ended) {
+                if (attempts.get(i) != attempt && !attempts.get(i).ended) {
                     return i;
                 }
             }
             return -1;
         }
 
-        boolean wasSentTo(WorkerMarket seller) {
+        boolean wasSentTo(WorkerMarket market) {
             for (int i = 0; i < attempts.size(); i++) {
-                if (attempts.get(i).market == seller) {
+                if (attempts.get(i).market == market) {
                     return true;
                 }
             }
             return false;
         }
 
-        /** It is held for longer than that, and would be in time, within its tenant's share. */
-        boolean heldLongerThan(long time, long now) {
-            return held && !overShare && now <= latestFullValueStart && now - arrivedAt > time;
+        /**
+         * The job is within its tenant's share, could still be answered in time, and arrived longer ago than
+         * {@code duration}.
+         */
+        boolean heldLongerThan(long duration, long now) {
+            return held && !overShare && now <= latestFullValueStart && now - arrivedAt > duration;
         }
 
-        /** The first attempt that may have run, one still out among them; null where none may. */
+        /** The first attempt that may have run, open ones included; null if none may. */
         JobAttempt firstPossibleRun() {
             for (int i = 0; i < attempts.size(); i++) {
                 if (!attempts.get(i).neverRan) {
@@ -714,27 +769,31 @@
         }
     }
 
+    /** A push of a job to a worker. */
     static final class JobAttempt {
         final PendingJob job;
         final WorkerMarket market;
         final long sentAt;
+        /** Expected run time, the time to fetch the data of its key included. */
         final double expectedMicros;
+        /** Probability, at the time of sending, that the worker has to fetch that data. */
         final double missProbability;
+
         long startedAt;
         boolean ended;
         boolean neverRan;
         boolean queued;
-        /** A connection is opened for it. */
+        /** A connection has to be opened for this attempt. */
         boolean opening;
-        /** It was given up and may run on until then. */
+        /** Time until which an abandoned attempt may still be running. */
         long mayRunUntil;
 
-        JobAttempt(PendingJob job, WorkerMarket seller, long sentAt, double expected, double miss) {
+        JobAttempt(PendingJob job, WorkerMarket market, long sentAt, double expectedMicros, double missProbability) {
             this.job = job;
-            this.market = seller;
+            this.market = market;
             this.sentAt = sentAt;
-            this.expectedMicros = expected;
-            this.missProbability = miss;
+            this.expectedMicros = expectedMicros;
+            this.missProbability = missProbability;
         }
     }
 }
--- a/src/main/java/barrowflow/StartDelayEstimator.java
+++ b/src/main/java/barrowflow/StartDelayEstimator.java
@@ -1,65 +1,70 @@
 package barrowflow;
 
 /**
- * How long attempts wait to begin, seen over this dispatcher's own: in each stretch of waiting, the part that
- * began in it of those that had waited so far. An attempt that was called off or given up tells of the
- * stretches that it lived through (the product-limit estimate: Kaplan and Meier, 1958). It holds figures and
- * decides nothing.
+ * Estimates the distribution of the time between sending an attempt and its start, from this dispatcher's own
+ * attempts. It uses the product-limit estimator (Kaplan and Meier, 1958): for each bucket of waiting time,
+ * the fraction of the attempts still waiting that started within it. Attempts that were cancelled or given up
+ * count as censored, in the buckets that they passed. It makes no decisions.
  */
 final class StartDelayEstimator {
-    /** Stretches are a quarter of an octave wide, from a millisecond to a minute. */
+    /** Number of buckets: a quarter of an octave each, from a millisecond to about a minute. */
     private static final int BUCKETS = 64;
 
     private static final double BUCKETS_PER_OCTAVE = 4;
     private static final double FIRST_BUCKET_MICROS = 1_000;
-    /** Each stretch follows the last so many attempts that reached it. */
+    /** Number of the latest attempts over which each bucket averages. */
     private static final double BUCKET_SAMPLES = 256;
-    /** Before any was seen, one in so many of those that reach a stretch begins in it. */
+    /** Prior: of the attempts that reach a bucket, one in this many starts within it. */
     private static final double PRIOR_START_ONE_IN = 40;
 
     private final double[] reached = new double[BUCKETS];
     private final double[] started = new double[BUCKETS];
-    /** The cumulated hazard up to each stretch; summed up anew when it is asked for after a change. */
+    /** Cumulative hazard up to each bucket; recomputed lazily after a change. */
     private final double[] cumulativeHazard = new double[BUCKETS + 1];
 
     private boolean hazardStale = true;
 
     /**
-     * An attempt began, or is not waited for any more.
+     * Records that an attempt started, or that it is not waited for any more.
      *
-     * @param took how long it had waited, microseconds
+     * @param waitedMicros how long it had waited, microseconds
      */
-    void observe(double took, boolean began) {
-        int last = (int) bucketPosition(took);
+    void observe(double waitedMicros, boolean hasStarted) {
+        int last = (int) bucketPosition(waitedMicros);
         for (int i = 0; i <= last; i++) {
             reached[i] += 1 - reached[i] / BUCKET_SAMPLES;
             started[i] -= started[i] / BUCKET_SAMPLES;
         }
-        started[last] += began ? 1 : 0;
+        started[last] += hasStarted ? 1 : 0;
         hazardStale = true;
     }
 
-    /** The chance that an attempt that has waited so long has not begun by then; both in microseconds. */
-    double probabilityNotStarted(double waited, double until) {
-        return until <= waited ? 1 : Math.exp(cumulativeHazardAt(waited) - cumulativeHazardAt(until));
+    /**
+     * The probability that an attempt that has waited for {@code waitedMicros} has not started by {@code
+     * untilMicros}, measured from when it was sent.
+     */
+    double probabilityNotStarted(double waitedMicros, double untilMicros) {
+        return untilMicros <= waitedMicros
+                ? 1
+                : Math.exp(cumulativeHazardAt(waitedMicros) - cumulativeHazardAt(untilMicros));
     }
 
-    private double cumulativeHazardAt(double waited) {
+    private double cumulativeHazardAt(double waitedMicros) {
         if (hazardStale) {
             hazardStale = false;
             for (int i = 0; i < BUCKETS; i++) {
-                double begin =
+                double startProbability =
                         Math.min(1 - 1 / BUCKET_SAMPLES, (started[i] + 1 / PRIOR_START_ONE_IN) / (reached[i] + 1));
-                cumulativeHazard[i + 1] = cumulativeHazard[i] - Math.log1p(-begin);
+                cumulativeHazard[i + 1] = cumulativeHazard[i] - Math.log1p(-startProbability);
             }
         }
-        double at = bucketPosition(waited);
-        int i = (int) at;
-        return cumulativeHazard[i] + (at - i) * (cumulativeHazard[i + 1] - cumulativeHazard[i]);
+        double position = bucketPosition(waitedMicros);
+        int i = (int) position;
+        return cumulativeHazard[i] + (position - i) * (cumulativeHazard[i + 1] - cumulativeHazard[i]);
     }
 
-    private static double bucketPosition(double waited) {
-        double octaves = Math.log(Math.max(1, waited / FIRST_BUCKET_MICROS)) / Math.log(2);
+    private static double bucketPosition(double waitedMicros) {
+        double octaves = Math.log(Math.max(1, waitedMicros / FIRST_BUCKET_MICROS)) / Math.log(2);
         return Math.min(BUCKETS_PER_OCTAVE * octaves, BUCKETS - 1e-6);
     }
 }
--- a/src/main/java/barrowflow/TenantShares.java
+++ b/src/main/java/barrowflow/TenantShares.java
@@ -6,27 +6,31 @@
 import java.util.List;
 
 /**
- * How much of its share each tenant has used: figures of this dispatcher's, and of the others' where they
- * tell them. It says what is over a share; what becomes of that, {@link Choice} decides.
+ * Tracks how much of its share each tenant uses, from the requests of this dispatcher and from the rates that
+ * other dispatchers announce. It only reports what is over a share; {@link Choice} decides how such jobs are
+ * treated.
  */
 final class TenantShares {
-    /** Use is seen over two seconds; so much may come at once, or three jobs. */
+    /**
+     * Time constant with which usage decays, microseconds; also the length of the burst that an allowance
+     * holds.
+     */
     private static final double USAGE_DECAY_MICROS = 2e6;
-
+    /** The smallest burst that an allowance holds, in jobs. */
     private static final double MIN_BURST_JOBS = 3;
-    /** Honest tenants are held to use this part of their shares. */
+    /** The fraction of its share that a tenant within its limits is assumed to use. */
     private static final double TYPICAL_UTILIZATION = 0.8;
-    /** Where few jobs were seen, each dispatcher's part of a tenant's counts as even: so many jobs' worth. */
+    /** Prior weight, in jobs, of an even split of a tenant's share, for when few jobs have been observed. */
     private static final double EVEN_PRIOR_JOBS = 0.5;
 
     private final List<Tenant> tenants;
     private final int dispatchers;
     private final double[] allowance;
-    /** Jobs seen of late, over the tenant's jobs a second. */
+    /** Decayed count of recent jobs, divided by the tenant's jobs per second. */
     private final double[] usage;
 
     private double recentJobs;
-    /** The part of the memory that has been lived through. */
+    /** How far the usage figures have built up since the start, from 0 to 1. */
     private double observedFraction;
 
     TenantShares(List<Tenant> tenants, int dispatchers) {
@@ -38,58 +42,61 @@
     }
 
     /**
-     * Takes a job from its tenant's allowance, which periods refill; false where none is left. Danger: a
-     * client that comes again with what was turned away asks for no more than it did; counted again, it would
-     * push its tenant's other jobs over the share, the more the busier the fleet is.
+     * Takes a job from its tenant's allowance, which is refilled each period; false if none is left. A repeat
+     * of a refused job is not counted again: otherwise retries would push the tenant's other jobs over its
+     * share, and the more so the busier the workers are.
      *
-     * @param tenant none of the settings', where these name some, has no share
-     * @param first not a client's repeat
+     * @param tenant index into the settings' list; a tenant that is not in a non-empty list has no share
+     * @param firstTry false for a repeat by the client
      */
-    boolean tryAcquire(int tenant, boolean first) {
-        recentJobs += first ? 1 : 0;
+    boolean tryAcquire(int tenant, boolean firstTry) {
+        recentJobs += firstTry ? 1 : 0;
         if (tenant < 0 || tenant >= allowance.length) {
             return allowance.length == 0;
         } else if (tenants.get(tenant).jobsPerSecond() <= 0) {
             return true;
         }
-        usage[tenant] += first ? 1 / tenants.get(tenant).jobsPerSecond() : 0;
+        usage[tenant] += firstTry ? 1 / tenants.get(tenant).jobsPerSecond() : 0;
         boolean within = allowance[tenant] >= 1;
-        allowance[tenant] -= within && first ? 1 : 0;
+        allowance[tenant] -= within && firstTry ? 1 : 0;
         return within;
     }
 
     /**
-     * Refills allowances by this dispatcher's part of the shares: the part of a tenant's jobs that it sees,
-     * where the others tell theirs; else even, or more where most tenants send more through it. Danger:
-     * clients are not spread alike, and who sees much of the traffic would take honest tenants for greedy.
-     * One that has just begun has seen next to nothing: until it has, its part counts as even.
+     * Refills the allowances with this dispatcher's part of the shares. Where other dispatchers announce
+     * their rates, the part is the fraction of the tenant's jobs that arrive here. Otherwise it is an even
+     * split, or more where most tenants send more through this dispatcher: clients are not spread evenly, and
+     * a dispatcher that receives much of the traffic would treat tenants within their limits as over them. A
+     * dispatcher that has just started has observed few jobs, so its part starts at the even split.
      */
-    void refill(double period, Gossip others) {
-        boolean told = others != null && others.peerCount() > 0;
+    void refill(double periodMicros, Gossip gossip) {
+        boolean peersHeard = gossip != null && gossip.peerCount() > 0;
         double[] sorted = usage.clone();
         Arrays.sort(sorted);
         double median = sorted.length < 3 ? 0 : sorted[(sorted.length - 1) / 2] * 1e6 / USAGE_DECAY_MICROS;
-        double even = Math.max(1.0 / dispatchers, median / TYPICAL_UTILIZATION);
+        double evenPart = Math.max(1.0 / dispatchers, median / TYPICAL_UTILIZATION);
         for (int t = 0; t < allowance.length; t++) {
             double share = tenants.get(t).jobsPerSecond();
-            double seen = usage[t] * share * 1e6 / USAGE_DECAY_MICROS;
-            double part = (seen + EVEN_PRIOR_JOBS)
-                    / (seen + (told ? others.peerJobsPerSecond(t) : 0) + EVEN_PRIOR_JOBS * dispatchers);
-            double mine = told ? part * observedFraction + even * (1 - observedFraction) : even;
-            double rate = share * mine / 1e6;
-            allowance[t] = Math.min(Math.max(MIN_BURST_JOBS, rate * USAGE_DECAY_MICROS), allowance[t] + rate * period);
-            usage[t] *= Math.exp(-period / USAGE_DECAY_MICROS);
+            double localRate = usage[t] * share * 1e6 / USAGE_DECAY_MICROS;
+            double observedPart = (localRate + EVEN_PRIOR_JOBS)
+                    / (localRate + (peersHeard ? gossip.peerJobsPerSecond(t) : 0) + EVEN_PRIOR_JOBS * dispatchers);
+            double ownPart =
+                    peersHeard ? observedPart * observedFraction + evenPart * (1 - observedFraction) : evenPart;
+            double rate = share * ownPart / 1e6;
+            allowance[t] =
+                    Math.min(Math.max(MIN_BURST_JOBS, rate * USAGE_DECAY_MICROS), allowance[t] + rate * periodMicros);
+            usage[t] *= Math.exp(-periodMicros / USAGE_DECAY_MICROS);
         }
-        recentJobs *= Math.exp(-period / USAGE_DECAY_MICROS);
-        observedFraction += (1 - observedFraction) * (1 - Math.exp(-period / USAGE_DECAY_MICROS));
+        recentJobs *= Math.exp(-periodMicros / USAGE_DECAY_MICROS);
+        observedFraction += (1 - observedFraction) * (1 - Math.exp(-periodMicros / USAGE_DECAY_MICROS));
     }
 
-    /** First tries of all tenants that this dispatcher sees a second. */
+    /** Rate of first tries of all tenants at this dispatcher, jobs per second. */
     double jobsPerSecond() {
         return recentJobs * 1e6 / USAGE_DECAY_MICROS;
     }
 
-    /** The same of each tenant that has a share. */
+    /** Rate of first tries of each tenant that has a share, jobs per second. */
     double[] jobsPerSecondByTenant() {
         double[] rates = usage.clone();
         for (int t = 0; t < rates.length; t++) {
