--- a/src/main/java/barrowflow/adapter/Adapter.java
+++ b/src/main/java/barrowflow/adapter/Adapter.java
@@ -17,13 +17,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads batches of events, hands them to the dispatchers and writes their actions. Decides nothing. */
+/**
+ * Connects dispatchers to the simulator: reads batches of event records, passes the events to the dispatcher
+ * instances and writes their actions as the reply to each batch. It makes no dispatching decisions itself.
+ */
 final class Adapter {
+    // Sizes in bytes: the header of a batch, an event record, a worker entry of a list, the longest frame.
     private static final int HEADER = 20;
     private static final int RECORD = 48;
     private static final int ENTRY = 24;
     private static final int MAX_FRAME = 1 << 30;
 
+    // Codes of event records.
     private static final int SHEET = 20;
     private static final int SETTLED = 30;
     private static final int RING = 40;
@@ -36,94 +41,96 @@
     private static final int UP = 130;
     private static final int MEMO = 90;
     private static final int STATUS_BACK = 110;
+    // Values and bits within the fields of HINT_UPDATE and KNOCK.
     private static final int NOTE_STARTED = 1;
     private static final int HINT_VALID = 1;
 
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final Map<Integer, List<Worker>> sheets = new HashMap<>();
+    private final Map<Integer, List<Worker>> workerLists = new HashMap<>();
     private final ReplyWriter reply = new ReplyWriter();
-    private long frameAt;
+    private long frameOffset;
     private ByteBuffer frame;
-    private int tailAt;
+    private int tailOffset;
     private long now;
 
-    /** Answers each batch until the end of input. */
+    /** Reads batches and writes a reply to each, until the end of input. */
     void run(InputStream in, OutputStream out) throws IOException {
         byte[] header = new byte[8];
-        for (int got; (got = in.readNBytes(header, 0, 8)) > 0; ) {
-            if (got < 8) {
-                throw new MalformedFrameException("input ends within a header", frameAt + got);
+        for (int headerBytes; (headerBytes = in.readNBytes(header, 0, 8)) > 0; ) {
+            if (headerBytes < 8) {
+                throw new MalformedFrameException("input ends within a header", frameOffset + headerBytes);
             }
             ByteBuffer start = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
             int length = start.getInt(4);
             if (length < HEADER - 8 || length > MAX_FRAME) {
-                throw new MalformedFrameException("impossible length " + Integer.toUnsignedString(length), frameAt + 4);
+                throw new MalformedFrameException(
+                        "invalid frame length " + Integer.toUnsignedString(length), frameOffset + 4);
             }
             byte[] body = in.readNBytes(length);
             if (body.length < length) {
-                throw new MalformedFrameException("input ends within a frame", frameAt + 8 + body.length);
+                throw new MalformedFrameException("input ends within a frame", frameOffset + 8 + body.length);
             }
             frame = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
             reply.beginBatch(start.getInt(0));
-            batch();
+            processBatch();
             reply.writeTo(out);
-            frameAt += 8 + length;
+            frameOffset += 8 + length;
         }
     }
 
-    private void batch() throws MalformedFrameException {
+    private void processBatch() throws MalformedFrameException {
         int records = frame.getInt(0);
         now = frame.getLong(4);
-        int first = HEADER - 8;
-        if (records < 0 || records > (frame.capacity() - first) / RECORD) {
+        int firstRecord = HEADER - 8;
+        if (records < 0 || records > (frame.capacity() - firstRecord) / RECORD) {
             throw new MalformedFrameException(
-                    Integer.toUnsignedString(records) + " records do not fit the length", frameAt + 8);
+                    Integer.toUnsignedString(records) + " records do not fit in the frame length", frameOffset + 8);
         }
-        tailAt = first + records * RECORD;
-        int on = -1;
-        for (int at = first; at < tailAt; at += RECORD) {
+        tailOffset = firstRecord + records * RECORD;
+        int instance = -1;
+        for (int at = firstRecord; at < tailOffset; at += RECORD) {
             int code = frame.get(at) & 0xff;
             if (code == ON) {
-                on = frame.getShort(at + 1) & 0xffff;
+                instance = frame.getShort(at + 1) & 0xffff;
             } else if (code == SHEET) {
-                sheets.put(frame.getInt(at + 1), entries(at + 5));
-            } else if (on < 0) {
-                throw new MalformedFrameException("an event before any instance is named", frameAt + 8 + at);
+                workerLists.put(frame.getInt(at + 1), readWorkerList(at + 5));
+            } else if (instance < 0) {
+                throw new MalformedFrameException("event record before any ON record", frameOffset + 8 + at);
             } else {
-                guarded(on, code, at);
+                handleEvent(instance, code, at);
             }
         }
     }
 
-    /** An exception in the decisions ends that instance and is told, never swallowed. */
-    private void guarded(int on, int code, int at) throws MalformedFrameException {
+    /** Handles an event. An exception of the dispatcher ends its instance and is reported in a DIE record. */
+    private void handleEvent(int instance, int code, int at) throws MalformedFrameException {
         try {
-            event(on, code, at);
+            applyEvent(instance, code, at);
         } catch (RuntimeException e) {
-            instances.remove(on);
+            instances.remove(instance);
             StackTraceElement[] trace = e.getStackTrace();
-            reply.addDie(on, e + (trace.length > 0 ? " at " + trace[0] : ""));
+            reply.addDie(instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
-    private void event(int on, int code, int at) throws MalformedFrameException {
+    private void applyEvent(int instanceNumber, int code, int at) throws MalformedFrameException {
         if (code == UP) {
-            instances.remove(on);
-            SettingsParser parser = new SettingsParser(text(at + 9));
-            instances.put(on, new Instance(on, reply, parser, frame.getLong(at + 1), now));
+            instances.remove(instanceNumber);
+            SettingsParser parser = new SettingsParser(readText(at + 9));
+            instances.put(instanceNumber, new Instance(instanceNumber, reply, parser, frame.getLong(at + 1), now));
             return;
         }
         if (code == CRASH_NOW) {
-            instances.remove(on);
+            instances.remove(instanceNumber);
             return;
         }
-        Instance instance = instances.get(on);
+        Instance instance = instances.get(instanceNumber);
         if (instance == null) {
             return;
         }
         switch (code) {
-            case KNOCK -> knock(instance, at);
-            case SETTLED -> settled(instance, at);
+            case KNOCK -> handleRequest(instance, at);
+            case SETTLED -> handleEnded(instance, at);
             case HINT_UPDATE -> {
                 if (frame.get(at + 20) == NOTE_STARTED) {
                     instance.dispatcher.started(now, frame.getLong(at + 1), frame.get(at + 9) & 0xff);
@@ -131,24 +138,24 @@
             }
             case WITHDRAWN -> instance.dispatcher.withdrawn(now, frame.getLong(at + 1));
             case RING -> instance.dispatcher.timer(now);
-            case ANNOUNCE -> announce(instance, at);
-            case MEMO -> instance.dispatcher.heard(now, frame.getInt(at + 1), bytes(at + 5));
+            case ANNOUNCE -> handleWorkerList(instance, at);
+            case MEMO -> instance.dispatcher.heard(now, frame.getInt(at + 1), readBytes(at + 5));
             case STATUS_BACK ->
                 instance.dispatcher.probed(
                         now,
                         workerId(at + 1),
-                        report(at + 13, instance.freeSlots),
-                        report(at + 13, instance.freeMemory));
+                        reportValue(at + 13, instance.freeSlotsIndex),
+                        reportValue(at + 13, instance.freeMemoryIndex));
             default -> {}
         }
     }
 
-    private void knock(Instance to, int at) {
-        to.dispatcher.request(
+    private void handleRequest(Instance instance, int at) {
+        instance.dispatcher.request(
                 now,
                 frame.getLong(at + 1),
                 frame.getShort(at + 9) & 0xffff,
-                to.tenants ? frame.getShort(at + 11) & 0xffff : 0,
+                instance.hasTenants ? frame.getShort(at + 11) & 0xffff : 0,
                 frame.getLong(at + 13),
                 frame.getInt(at + 21) & 0xffffffffL,
                 frame.getFloat(at + 29),
@@ -158,7 +165,7 @@
                 false);
     }
 
-    private void settled(Instance to, int at) {
+    private void handleEnded(Instance instance, int at) {
         Outcome outcome =
                 switch (frame.getShort(at + 16) & 0xffff) {
                     case 0 -> Outcome.SERVED;
@@ -170,21 +177,22 @@
                     case 125 -> Outcome.CANCELLED;
                     default -> Outcome.ERROR;
                 };
-        to.dispatcher.ended(
+        instance.dispatcher.ended(
                 now,
                 frame.getLong(at + 1),
                 frame.get(at + 9) & 0xff,
                 outcome,
                 frame.get(at + 22) != 0,
-                report(at + 27, to.freeSlots),
-                report(at + 27, to.freeMemory));
+                reportValue(at + 27, instance.freeSlotsIndex),
+                reportValue(at + 27, instance.freeMemoryIndex));
     }
 
-    private double report(int at, int place) {
-        return place >= 0 && place < (frame.get(at) & 0xff) ? frame.getFloat(at + 1 + 4 * place) : Double.NaN;
+    /** A value of the load report at that offset, or NaN if it has none at the index. */
+    private double reportValue(int at, int index) {
+        return index >= 0 && index < (frame.get(at) & 0xff) ? frame.getFloat(at + 1 + 4 * index) : Double.NaN;
     }
 
-    private void announce(Instance to, int at) throws MalformedFrameException {
+    private void handleWorkerList(Instance instance, int at) throws MalformedFrameException {
         ListKind kind =
                 switch (frame.get(at + 1)) {
                     case 1 -> ListKind.WHOLE;
@@ -194,17 +202,19 @@
                 };
         List<Worker> entries = List.of();
         if (kind != ListKind.FAILED) {
-            entries = sheets.get(frame.getInt(at + 10));
+            entries = workerLists.get(frame.getInt(at + 10));
             if (entries == null) {
-                throw new MalformedFrameException("a list that was never defined", frameAt + 8 + at + 10);
+                throw new MalformedFrameException(
+                        "reference to a worker list that was not defined", frameOffset + 8 + at + 10);
             }
         }
-        to.dispatcher.workers(now, kind, entries);
+        instance.dispatcher.workers(now, kind, entries);
     }
 
-    private List<Worker> entries(int field) throws MalformedFrameException {
+    /** Reads the worker entries that a field refers to. */
+    private List<Worker> readWorkerList(int field) throws MalformedFrameException {
         int count = frame.getInt(field + 4);
-        int at = tail(field, (long) count * ENTRY);
+        int at = tailPosition(field, (long) count * ENTRY);
         List<Worker> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++, at += ENTRY) {
             WorkerState state =
@@ -228,21 +238,21 @@
         return (frame.getInt(at) & 0xffffffffL) | (frame.getShort(at + 4) & 0xffffL) << 32;
     }
 
-    private byte[] bytes(int field) throws MalformedFrameException {
-        int at = tail(field, frame.getInt(field + 4));
+    private byte[] readBytes(int field) throws MalformedFrameException {
+        int at = tailPosition(field, frame.getInt(field + 4));
         return Arrays.copyOfRange(frame.array(), at, at + frame.getInt(field + 4));
     }
 
-    private String text(int field) throws MalformedFrameException {
+    private String readText(int field) throws MalformedFrameException {
         int length = frame.getInt(field + 4);
-        return new String(frame.array(), tail(field, length), length, StandardCharsets.UTF_8);
+        return new String(frame.array(), tailPosition(field, length), length, StandardCharsets.UTF_8);
     }
 
-    /** The place of what a field points at in the tail. */
-    private int tail(int field, long length) throws MalformedFrameException {
-        long at = tailAt + (frame.getInt(field) & 0xffffffffL);
+    /** Position in the frame of the bytes that an offset field refers to; the offset counts from the tail. */
+    private int tailPosition(int field, long length) throws MalformedFrameException {
+        long at = tailOffset + (frame.getInt(field) & 0xffffffffL);
         if (length < 0 || at + length > frame.capacity()) {
-            throw new MalformedFrameException("a field that points beyond the frame", frameAt + 8 + field);
+            throw new MalformedFrameException("offset field refers to bytes beyond the frame", frameOffset + 8 + field);
         }
         return (int) at;
     }
--- a/src/main/java/barrowflow/adapter/AdapterMain.java
+++ b/src/main/java/barrowflow/adapter/AdapterMain.java
@@ -5,11 +5,11 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** The command line: {@code java -jar barrowflow.jar adapter}. */
+/** Entry point of the simulator adapter: {@code java -jar barrowflow.jar adapter}. Uses stdin and stdout. */
 public final class AdapterMain {
     private AdapterMain() {}
 
-    /** Exit status 0 at the end of input, 1 on a malformed frame, 2 on a wrong command line. */
+    /** Exits with status 0 at the end of input, 1 on a malformed frame and 2 on invalid arguments. */
     public static void main(String[] args) throws IOException {
         if (args.length != 1 || !args[0].equals("adapter")) {
             System.err.println("usage: java -jar barrowflow.jar adapter");
--- a/src/main/java/barrowflow/adapter/Instance.java
+++ b/src/main/java/barrowflow/adapter/Instance.java
@@ -4,22 +4,25 @@
 import barrowflow.Dispatcher;
 import barrowflow.Dispatcher.Settings;
 
-/** One dispatcher on the wire: its actions become records of the reply. */
+/** One dispatcher instance of the simulator; encodes the dispatcher's actions as records of the reply. */
 final class Instance implements Dispatcher.Actions {
     private final int number;
     private final ReplyWriter reply;
-    final int freeSlots;
-    final int freeMemory;
-    final boolean tenants;
+    /** Position of the free slots among the values of a load report, or -1. */
+    final int freeSlotsIndex;
+    /** Position of the free memory among the values of a load report, or -1. */
+    final int freeMemoryIndex;
+
+    final boolean hasTenants;
     final Dispatcher dispatcher;
 
     Instance(int number, ReplyWriter reply, SettingsParser parser, long seed, long now) {
         this.number = number;
         this.reply = reply;
-        freeSlots = parser.reportIndex("free_slots");
-        freeMemory = parser.reportIndex("free_memory");
+        freeSlotsIndex = parser.reportIndex("free_slots");
+        freeMemoryIndex = parser.reportIndex("free_memory");
         Settings settings = parser.settings();
-        tenants = !settings.tenants().isEmpty();
+        hasTenants = !settings.tenants().isEmpty();
         dispatcher = new Choice(settings, seed, now, this);
     }
 
@@ -60,10 +63,10 @@
     @Override
     public void tell(byte[] message) {
         int at = reply.addRecord(number, ReplyWriter.WRITE_PEER);
-        int from = reply.appendTail(message);
+        int offset = reply.appendTail(message);
         reply.buffer()
                 .putShort(at + 1, ReplyWriter.ALL_PEERS)
-                .putInt(at + 3, from)
+                .putInt(at + 3, offset)
                 .putInt(at + 7, message.length);
     }
 
--- a/src/main/java/barrowflow/adapter/MalformedFrameException.java
+++ b/src/main/java/barrowflow/adapter/MalformedFrameException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** A frame that can't be read: what is wrong, and at which byte of the input. */
+/** Reports an invalid input frame, with the reason and the byte offset in the input. */
 final class MalformedFrameException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    MalformedFrameException(String what, long at) {
-        super("malformed frame: " + what + " at byte " + at);
+    MalformedFrameException(String reason, long offset) {
+        super("malformed frame: " + reason + " at byte " + offset);
     }
 }
--- a/src/main/java/barrowflow/adapter/ReplyWriter.java
+++ b/src/main/java/barrowflow/adapter/ReplyWriter.java
@@ -7,10 +7,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** The reply to one batch, written record by record. */
+/**
+ * Builds the reply to one batch: a header, fixed-size records and a tail of variable-length data that records
+ * refer to by offset.
+ */
 final class ReplyWriter {
+    // Sizes in bytes: the header of a reply and a record.
     static final int HEADER = 12;
     static final int RECORD = 24;
+
+    // Codes of action records; ALL_PEERS is the receiver of a WRITE_PEER that goes to every other instance.
     static final int DIE = 20;
     static final int KEEP_INFORMED = 30;
     static final int ABORT_ATTEMPT = 10;
@@ -25,26 +31,27 @@
 
     private ByteBuffer records = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
     private byte[] tail = new byte[0];
-    private int number;
-    private int named;
+    private int batchNumber;
+    /** Instance of the last INSTANCE record, which applies to the records that follow it; -1 if none. */
+    private int currentInstance;
 
     void beginBatch(int batch) {
-        number = batch;
-        named = -1;
+        batchNumber = batch;
+        currentInstance = -1;
         tail = new byte[0];
         records.clear().position(HEADER);
     }
 
-    /** Starts a record of an instance; its fields go at offsets from the place returned. */
+    /** Appends an empty record for an instance and returns its position in the buffer. */
     int addRecord(int instance, int code) {
-        if (instance != named) {
-            named = instance;
-            records.putShort(append(INSTANCE) + 1, (short) instance);
+        if (instance != currentInstance) {
+            currentInstance = instance;
+            records.putShort(appendRecord(INSTANCE) + 1, (short) instance);
         }
-        return append(code);
+        return appendRecord(code);
     }
 
-    private int append(int code) {
+    private int appendRecord(int code) {
         int at = records.position();
         if (records.remaining() < RECORD) {
             byte[] larger = Arrays.copyOf(records.array(), 2 * records.capacity());
@@ -59,23 +66,24 @@
         return records;
     }
 
-    void addDie(int instance, String what) {
-        byte[] text = what.getBytes(StandardCharsets.UTF_8);
+    /** Appends a DIE record: the instance has failed with this message. */
+    void addDie(int instance, String message) {
+        byte[] text = message.getBytes(StandardCharsets.UTF_8);
         int at = addRecord(instance, DIE);
         records.putInt(at + 1, appendTail(text)).putInt(at + 5, text.length);
     }
 
-    /** Adds to the tail; gives the offset of what was added. */
+    /** Appends to the tail and returns the offset of the appended bytes. */
     int appendTail(byte[] bytes) {
-        int before = tail.length;
-        tail = Arrays.copyOf(tail, before + bytes.length);
-        System.arraycopy(bytes, 0, tail, before, bytes.length);
-        return before;
+        int offset = tail.length;
+        tail = Arrays.copyOf(tail, offset + bytes.length);
+        System.arraycopy(bytes, 0, tail, offset, bytes.length);
+        return offset;
     }
 
     void writeTo(OutputStream out) throws IOException {
-        int body = records.position() - HEADER;
-        records.putInt(0, number).putInt(4, body / RECORD).putInt(8, body + tail.length);
+        int recordBytes = records.position() - HEADER;
+        records.putInt(0, batchNumber).putInt(4, recordBytes / RECORD).putInt(8, recordBytes + tail.length);
         int length = records.position();
         if (tail.length > 0) {
             byte[] whole = Arrays.copyOf(records.array(), length + tail.length);
--- a/src/main/java/barrowflow/adapter/SettingsParser.java
+++ b/src/main/java/barrowflow/adapter/SettingsParser.java
@@ -15,11 +15,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The wire's settings, {@code path=value} a line, as the module's. Unknown ones are passed over. */
+/**
+ * Converts settings given as {@code path=value} pairs, one per line, to the settings of the dispatcher. Unknown
+ * paths are ignored; {@link #unusedPaths} lists them.
+ */
 public final class SettingsParser {
     private final Map<String, String> values;
-    /** Paths of what was asked for, whether it was told or not. */
-    private final Set<String> read = new HashSet<>();
+    /** Paths that were looked up, whether a value was given or not. */
+    private final Set<String> requestedPaths = new HashSet<>();
 
     SettingsParser(String text) {
         values = new HashMap<>();
@@ -31,12 +34,12 @@
         }
     }
 
-    /** Settings that are split into paths and values already. */
+    /** Parses settings that are already split into paths and values. */
     public SettingsParser(Map<String, String> values) {
         this.values = Map.copyOf(values);
     }
 
-    /** @throws IllegalArgumentException which names the setting that is missing or unreadable */
+    /** @throws IllegalArgumentException if a setting is missing or invalid; the message names its path */
     public Settings settings() {
         int classes = (int) number("request_classes.count", null);
         List<JobClass> jobClasses = new ArrayList<>();
@@ -57,54 +60,54 @@
                 (int) number("caps.max_attempts", null),
                 flag("caps.may_cancel"),
                 flag("caps.retry_after") ? (long) number("caps.max_retry_after_us", 0.0) : 0,
-                word("registry_mode", "pushed").equals("on_request"),
+                stringValue("registry_mode", "pushed").equals("on_request"),
                 flag("domain.tells_start"),
                 number("prices.cross_zone", 0.0),
                 flag("caps.second_copies") && flag("caps.may_cancel"),
                 new Objective(
                         number("goal.whole", 1.0),
                         number("goal.worst_class", 0.0),
-                        word("counted_by", "request").equals("work")),
+                        stringValue("counted_by", "request").equals("work")),
                 new LoadSources(
                         flag("caps.peers"),
                         number("prices.peer", 0.0),
                         flag("caps.probes"),
                         number("prices.probe", 0.0),
-                        // Danger: where reports tell no free slots, probes would be paid for good and teach nothing.
-                        word("report.how", "silent").equals("pull") && reportIndex("free_slots") >= 0));
+                        // Probes cost something and give no information if load reports do not include free slots.
+                        stringValue("report.how", "silent").equals("pull") && reportIndex("free_slots") >= 0));
     }
 
     private JobClass jobClass(int c) {
         String path = "request_classes." + c + ".";
         Effect effect =
-                switch (word(path + "effect", null)) {
+                switch (stringValue(path + "effect", null)) {
                     case "read_like" -> Effect.SAFE;
                     case "idempotency_key" -> Effect.KEYED;
                     case "non_idempotent" -> Effect.UNSAFE;
-                    default -> throw unreadable(path + "effect");
+                    default -> throw invalidSetting(path + "effect");
                 };
         boolean keyed = effect == Effect.KEYED;
         Group group =
-                switch (word(path + "dedup_scope", keyed ? null : "all")) {
+                switch (stringValue(path + "dedup_scope", keyed ? null : "all")) {
                     case "all" -> Group.ALL;
                     case "zone" -> Group.ZONE;
                     case "cell" -> Group.CELL;
-                    default -> throw unreadable(path + "dedup_scope");
+                    default -> throw invalidSetting(path + "dedup_scope");
                 };
         double stretch = number(path + "aim_stretch", 0.0);
         return new JobClass(
                 (long) number(path + "aim_us", null),
-                item("domain.class_stretch", c, stretch),
+                listItem("domain.class_stretch", c, stretch),
                 (long) number(path + "deadline_us", null),
                 number(path + "worth", null),
                 number(path + "late_share", 0.0),
                 effect,
                 group,
                 (long) number(path + "dedup_window_us", keyed ? null : 0.0),
-                (int) item("domain.class_kind", c, -1));
+                (int) listItem("domain.class_kind", c, -1));
     }
 
-    /** Tenants come as a list of objects, of names alone or not at all. */
+    /** Reads the tenants, which may be given as a list of objects, as a list of names, or not at all. */
     private List<Tenant> tenants() {
         List<Tenant> tenants = new ArrayList<>();
         int count = (int) number("tenants.count", 0.0);
@@ -114,53 +117,53 @@
         return tenants;
     }
 
-    /** The place of free slots ({@code free_slots}) or memory among the values of a load report, or -1. */
+    /** Position of a quantity ({@code free_slots}, {@code free_memory}) among the values of a load report, or -1. */
     public int reportIndex(String meaning) {
-        String[] names = word("report.names", "").split(",");
+        String[] names = stringValue("report.names", "").split(",");
         for (int i = 0; i < names.length; i++) {
-            if (word("domain.report_" + names[i], "").equals(meaning)) {
+            if (stringValue("domain.report_" + names[i], "").equals(meaning)) {
                 return i;
             }
         }
         return -1;
     }
 
-    private double item(String path, int place, double otherwise) {
-        String[] items = word(path, "").split(",");
-        return place < items.length && !items[place].isEmpty() ? parse(path, items[place]) : otherwise;
+    private double listItem(String path, int index, double defaultValue) {
+        String[] items = stringValue(path, "").split(",");
+        return index < items.length && !items[index].isEmpty() ? parse(path, items[index]) : defaultValue;
     }
 
-    private double number(String path, Double otherwise) {
+    private double number(String path, Double defaultValue) {
         String value = rawValue(path);
-        return value == null && otherwise != null ? otherwise : parse(path, word(path, null));
+        return value == null && defaultValue != null ? defaultValue : parse(path, stringValue(path, null));
     }
 
     private boolean flag(String path) {
-        return word(path, "false").equals("true");
+        return stringValue(path, "false").equals("true");
     }
 
     /**
-     * What was told and nobody asked for, in alphabetical order: what the deployment says that is not used.
-     * Items of lists stand together, under {@code *} for their numbers.
+     * Paths of settings that were given but never looked up, in alphabetical order. List items are combined
+     * into one path with {@code *} in place of the index.
      */
     public List<String> unusedPaths() {
         return values.keySet().stream()
-                .filter(path -> !read.contains(path))
+                .filter(path -> !requestedPaths.contains(path))
                 .map(path -> path.replaceAll("\\.\\d+(?=\\.|$)", ".*"))
                 .distinct()
                 .sorted()
                 .toList();
     }
 
-    /** A setting's text, or null; from here on it counts as used. */
+    /** Returns the value of a setting as given, or null, and marks its path as used. */
     public String rawValue(String path) {
-        read.add(path);
+        requestedPaths.add(path);
         return values.get(path);
     }
 
-    private String word(String path, String otherwise) {
-        read.add(path);
-        String value = values.getOrDefault(path, otherwise);
+    private String stringValue(String path, String defaultValue) {
+        requestedPaths.add(path);
+        String value = values.getOrDefault(path, defaultValue);
         if (value == null) {
             throw new IllegalArgumentException("missing setting " + path);
         }
@@ -171,11 +174,11 @@
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw unreadable(path);
+            throw invalidSetting(path);
         }
     }
 
-    private IllegalArgumentException unreadable(String path) {
+    private IllegalArgumentException invalidSetting(String path) {
         return new IllegalArgumentException("unreadable setting " + path + "=" + values.get(path));
     }
 }
--- a/src/main/java/barrowflow/gossip/Gossip.java
+++ b/src/main/java/barrowflow/gossip/Gossip.java
@@ -7,260 +7,278 @@
 import java.util.Map;
 
 /**
- * What dispatchers tell one another of the slots that their jobs take at workers and of their tenants' use.
- * Messages may be lost, late, doubled or come from another build: each tells all that its sender has out, so
- * the next one mends what one missed, and an older one than was heard changes nothing.
+ * State exchange between the dispatchers of one deployment: each broadcasts the slots that its own jobs occupy
+ * at workers and its job rate per tenant, and sums what it receives from the others. Messages may be lost,
+ * delayed, duplicated or sent by another build. Each carries the sender's full state, or the next part of it
+ * if it does not fit, so later messages repair a lost one. A message with an older sequence number than the
+ * last one received is ignored.
  *
- * <p>Form, little-endian: version (1 byte), life of the sender (4), number within it (4), 1 where the workers
- * are all that there are (1), count of tenants (1), for each its place (2) and its jobs a second in
- * sixteenths (2), then for each worker the low 24 bits of its name's hash and the slots taken (4).
+ * <p>Message format, little-endian: version (1 byte), incarnation of the sender (4), sequence number (4), flag
+ * that is 1 if all of the sender's workers are listed (1), number of tenants (1); for each tenant its index (2)
+ * and its jobs per second in sixteenths (2); then for each worker a word with a 24-bit hash of its name in
+ * the low bits and its occupied slots in the upper 8 bits (4).
  *
- * <p>Danger: nothing that is heard makes a worker known or unknown; it is only ever looked up by workers that
- * discovery named. What is kept is bounded by the number of dispatchers and by what a message can hold.
+ * <p>A received message never adds or removes a worker: its entries are only looked up for workers that
+ * discovery listed. Memory is bounded by the number of dispatchers and by the size of a message.
  */
 public final class Gossip {
-    /** A message holds so many bytes at most. */
     public static final int MAX_MESSAGE_BYTES = 256;
 
     private static final byte VERSION = 1;
-    private static final int HEAD = 11;
-    private static final int ITEM = 4;
-    /** The busiest so many tenants are told of. */
-    private static final int TENANTS = 16;
+    private static final int HEADER_BYTES = 11;
+    private static final int ENTRY_BYTES = 4;
+    /** Only the tenants with the highest job rates are included. */
+    private static final int MAX_TENANTS = 16;
 
-    private static final double RATE_UNIT = 16;
-    /** Of one dispatcher that can't name all of its workers in a message, so many are kept. */
-    private static final int MOST_TAGS = 4096;
-    /** So much of the result is spent on messages at most: what they gain is five times that. */
-    private static final double SPEND = 0.01;
-    /** Told this often while a job runs, the others know all but the last few jobs. */
-    private static final double IN_A_JOB = 16;
-    /** Microseconds; no message is sent sooner after the last. */
-    private static final long SOONEST = 20_000;
-    /** A dispatcher that is silent for so long, in microseconds, counts for nothing. */
-    private static final long SILENT = 3_000_000;
+    /** Resolution of the encoded job rates: units per job per second. */
+    private static final double RATE_UNITS_PER_JOB = 16;
+    /** Limit on the workers stored for a dispatcher whose workers do not all fit in one message. */
+    private static final int MAX_TAGS_PER_PEER = 4096;
+    /** Upper limit on the cost of messages, as a fraction of the objective; their benefit is five times that. */
+    private static final double MAX_COST_FRACTION = 0.01;
+    /** At this many messages per job run time, the other dispatchers miss only the last few jobs. */
+    private static final double MESSAGES_PER_RUN_TIME = 16;
 
-    /** So many lives of a dispatcher are heard: one that ends, beside the one that takes its place. */
-    private static final int LIVES = 2;
+    private static final long MIN_INTERVAL_MICROS = 20_000;
+    /** After this time without a message, the state of a dispatcher is discarded. */
+    private static final long PEER_TIMEOUT_MICROS = 3_000_000;
 
-    /** Who tells: a life of a dispatcher. */
-    private record Speaker(int from, int life) {}
+    /** During a restart, the ending process and its replacement are both counted. */
+    private static final int MAX_INCARNATIONS = 2;
 
-    /** What one other dispatcher told last. */
+    /** Sender of a message: one process incarnation of a dispatcher. */
+    private record Sender(int dispatcher, int incarnation) {}
+
+    /** State last received from one sender. */
     private static final class Peer {
-        int number;
-        long at;
+        int sequence;
+        long receivedAt;
         final Map<Integer, Integer> slots = new HashMap<>();
-        /** When each of them was named last; kept where not all fit in one message. */
-        final Map<Integer, Long> namedAt = new HashMap<>();
+        /** Time at which each worker was last listed; only used if not all workers fit in one message. */
+        final Map<Integer, Long> listedAt = new HashMap<>();
 
         final Map<Integer, Integer> rates = new HashMap<>();
     }
 
     private final int dispatchers;
     private final double price;
-    private final int life;
-    private final Map<Speaker, Peer> peers = new HashMap<>();
-    /** Sums over all that are heard. */
-    private final Map<Integer, Integer> slots = new HashMap<>();
+    private final int incarnation;
+    private final Map<Sender, Peer> peers = new HashMap<>();
+    /** Occupied slots by worker tag, summed over all peers. */
+    private final Map<Integer, Integer> totalSlots = new HashMap<>();
+    /** Encoded job rates by tenant index, summed over all peers. */
+    private final Map<Integer, Integer> totalRates = new HashMap<>();
 
-    private final Map<Integer, Integer> rates = new HashMap<>();
-    private int number;
-    private long nextAt;
-    private int turn;
-    private int bytes = HEAD + ITEM * TENANTS / 2;
-    private long malformed;
+    private int sequence;
+    private long nextMessageAt;
+    private int nextWorkerIndex;
+    private int lastMessageBytes = HEADER_BYTES + ENTRY_BYTES * MAX_TENANTS / 2;
+    private long malformedMessages;
 
     /**
-     * @param price of one full message for each job, in parts of the result
-     * @param life differs between two lives of one dispatcher
+     * @param price cost of sending one full message per job, as a fraction of the objective
+     * @param incarnation differs between two processes that run the same dispatcher one after the other
      */
-    public Gossip(int dispatchers, double price, int life) {
+    public Gossip(int dispatchers, double price, int incarnation) {
         this.dispatchers = dispatchers;
         this.price = price;
-        this.life = life;
+        this.incarnation = incarnation;
     }
 
     /**
-     * Whether it is time to tell. Where its price bears a message less often than jobs come and go, none is.
+     * Whether a message should be sent now. If the cost limit allows messages only at intervals longer than a
+     * job's run time, none are sent, as their content would be outdated.
      *
-     * @param jobsPerSecond that come to this dispatcher
-     * @param run of the mean job, microseconds
+     * @param jobsPerSecond rate of jobs that arrive at this dispatcher
+     * @param runMicros mean run time of a job, in microseconds
      */
-    public boolean isMessageDue(long now, double jobsPerSecond, double run) {
-        if (dispatchers < 2 || now < nextAt) {
+    public boolean isMessageDue(long now, double jobsPerSecond, double runMicros) {
+        if (dispatchers < 2 || now < nextMessageAt) {
             return false;
         }
-        double cost = (dispatchers - 1) * (double) bytes / MAX_MESSAGE_BYTES * price;
-        double borne = 1e6 * cost / SPEND / Math.max(1e-3, jobsPerSecond);
-        double pause = Math.max(SOONEST, Math.max(run / IN_A_JOB, borne));
-        nextAt = now + (long) Math.min(pause, SILENT);
-        return pause <= Math.max(SOONEST, run);
+        double cost = (dispatchers - 1) * (double) lastMessageBytes / MAX_MESSAGE_BYTES * price;
+        double affordableInterval = 1e6 * cost / MAX_COST_FRACTION / Math.max(1e-3, jobsPerSecond);
+        double interval =
+                Math.max(MIN_INTERVAL_MICROS, Math.max(runMicros / MESSAGES_PER_RUN_TIME, affordableInterval));
+        nextMessageAt = now + (long) Math.min(interval, PEER_TIMEOUT_MICROS);
+        return interval <= Math.max(MIN_INTERVAL_MICROS, runMicros);
     }
 
     /**
-     * A message of what this dispatcher has out; where not all fits, the next one goes on with the rest.
+     * Encodes a message with the current state of this dispatcher. If not all workers fit, the following
+     * messages continue with the rest in turn.
      *
-     * @param names of workers with own jobs
-     * @param taken slots taken at each of them
-     * @param perSecond each tenant's jobs a second here
+     * @param names names of the workers that run jobs of this dispatcher
+     * @param slotsTaken occupied slots at each of these workers
+     * @param jobsPerSecond job rate of each tenant at this dispatcher
      */
-    public byte[] nextMessage(long[] names, double[] taken, double[] perSecond) {
-        Integer[] busiest = new Integer[perSecond.length];
-        Arrays.setAll(busiest, i -> i);
-        Arrays.sort(busiest, (a, b) -> Double.compare(perSecond[b], perSecond[a]));
-        int tenants = 0;
-        while (tenants < Math.min(TENANTS, busiest.length) && perSecond[busiest[tenants]] > 0) {
-            tenants++;
+    public byte[] nextMessage(long[] names, double[] slotsTaken, double[] jobsPerSecond) {
+        Integer[] byRate = new Integer[jobsPerSecond.length];
+        Arrays.setAll(byRate, i -> i);
+        Arrays.sort(byRate, (a, b) -> Double.compare(jobsPerSecond[b], jobsPerSecond[a]));
+        int tenantCount = 0;
+        while (tenantCount < Math.min(MAX_TENANTS, byRate.length) && jobsPerSecond[byRate[tenantCount]] > 0) {
+            tenantCount++;
         }
-        int room = (MAX_MESSAGE_BYTES - HEAD - ITEM * tenants) / ITEM;
-        int workers = Math.min(room, names.length);
-        bytes = HEAD + ITEM * (tenants + workers);
-        ByteBuffer out = ByteBuffer.allocate(bytes).order(ByteOrder.LITTLE_ENDIAN);
+        int capacity = (MAX_MESSAGE_BYTES - HEADER_BYTES - ENTRY_BYTES * tenantCount) / ENTRY_BYTES;
+        int workerCount = Math.min(capacity, names.length);
+        lastMessageBytes = HEADER_BYTES + ENTRY_BYTES * (tenantCount + workerCount);
+        ByteBuffer out = ByteBuffer.allocate(lastMessageBytes).order(ByteOrder.LITTLE_ENDIAN);
         out.put(VERSION)
-                .putInt(life)
-                .putInt(++number)
-                .put((byte) (workers == names.length ? 1 : 0))
-                .put((byte) tenants);
-        for (int i = 0; i < tenants; i++) {
-            out.putShort((short) (int) busiest[i]).putShort((short)
-                    Math.min(0xffff, Math.round(perSecond[busiest[i]] * RATE_UNIT)));
+                .putInt(incarnation)
+                .putInt(++sequence)
+                .put((byte) (workerCount == names.length ? 1 : 0))
+                .put((byte) tenantCount);
+        for (int i = 0; i < tenantCount; i++) {
+            out.putShort((short) (int) byRate[i]).putShort((short)
+                    Math.min(0xffff, Math.round(jobsPerSecond[byRate[i]] * RATE_UNITS_PER_JOB)));
         }
-        for (int i = 0; i < workers; i++, turn++) {
-            int at = Math.floorMod(workers < names.length ? turn : i, names.length);
-            out.putInt(tag(names[at]) | (int) Math.min(0xff, Math.round(taken[at])) << 24);
+        for (int i = 0; i < workerCount; i++, nextWorkerIndex++) {
+            int index = Math.floorMod(workerCount < names.length ? nextWorkerIndex : i, names.length);
+            out.putInt(tag(names[index]) | (int) Math.min(0xff, Math.round(slotsTaken[index])) << 24);
         }
         return out.array();
     }
 
-    /** Takes in a message; what can't be one, or is of another version, is counted and left. */
+    /**
+     * Applies a message from another dispatcher. A message that is malformed or of another format version is
+     * counted and ignored.
+     */
     public void receive(long now, int from, byte[] message) {
         if (from < 0
                 || from >= dispatchers
-                || message.length < HEAD
+                || message.length < HEADER_BYTES
                 || message.length > MAX_MESSAGE_BYTES
                 || message[0] != VERSION
-                || (message.length - HEAD) % ITEM != 0
-                || message[HEAD - 1] < 0
-                || HEAD + ITEM * message[HEAD - 1] > message.length) {
-            malformed++;
+                || (message.length - HEADER_BYTES) % ENTRY_BYTES != 0
+                || message[HEADER_BYTES - 1] < 0
+                || HEADER_BYTES + ENTRY_BYTES * message[HEADER_BYTES - 1] > message.length) {
+            malformedMessages++;
             return;
         }
         ByteBuffer in = ByteBuffer.wrap(message).order(ByteOrder.LITTLE_ENDIAN);
-        Speaker speaker = new Speaker(from, in.getInt(1));
-        int no = in.getInt(5);
-        Peer known = peers.get(speaker);
-        if (known != null && no - known.number <= 0) {
+        Sender sender = new Sender(from, in.getInt(1));
+        int receivedSequence = in.getInt(5);
+        Peer known = peers.get(sender);
+        if (known != null && receivedSequence - known.sequence <= 0) {
             return;
         }
         Peer peer = known == null ? new Peer() : known;
         if (known == null) {
-            makeRoom(from);
-            peers.put(speaker, peer);
+            evictOldestIncarnation(from);
+            peers.put(sender, peer);
         }
-        if (message[9] == 1 || peer.slots.size() > MOST_TAGS) {
-            forget(peer);
+        if (message[9] == 1 || peer.slots.size() > MAX_TAGS_PER_PEER) {
+            clearSlots(peer);
         }
-        peer.number = no;
-        peer.at = now;
-        forgetRates(peer);
-        in.position(HEAD);
-        for (int i = 0; i < message[HEAD - 1]; i++) {
+        peer.sequence = receivedSequence;
+        peer.receivedAt = now;
+        clearRates(peer);
+        in.position(HEADER_BYTES);
+        for (int i = 0; i < message[HEADER_BYTES - 1]; i++) {
             int tenant = in.getShort() & 0xffff;
             int rate = in.getShort() & 0xffff;
             if (peer.rates.putIfAbsent(tenant, rate) == null) {
-                rates.merge(tenant, rate, Gossip::sum);
+                totalRates.merge(tenant, rate, Gossip::sumOrNull);
             }
         }
         while (in.hasRemaining()) {
-            int item = in.getInt();
-            Integer before = peer.slots.put(item & 0xffffff, item >>> 24);
-            slots.merge(item & 0xffffff, (item >>> 24) - (before == null ? 0 : before), Gossip::sum);
+            int entry = in.getInt();
+            Integer previous = peer.slots.put(entry & 0xffffff, entry >>> 24);
+            totalSlots.merge(entry & 0xffffff, (entry >>> 24) - (previous == null ? 0 : previous), Gossip::sumOrNull);
             if (message[9] != 1) {
-                peer.namedAt.put(item & 0xffffff, now);
+                peer.listedAt.put(entry & 0xffffff, now);
             }
         }
         if (message[9] != 1) {
-            forgetUnnamed(peer, now);
+            dropUnlistedWorkers(peer, now);
         }
     }
 
-    /** Danger: who can't name all of its workers names none to say that it has nothing there any more. */
-    private void forgetUnnamed(Peer peer, long now) {
+    /**
+     * Removes workers that the peer has not listed within the timeout. A peer whose workers do not all fit in
+     * one message has no other way to report that it runs nothing at a worker any more.
+     */
+    private void dropUnlistedWorkers(Peer peer, long now) {
         peer.slots.entrySet().removeIf(e -> {
-            boolean old = now - peer.namedAt.getOrDefault(e.getKey(), 0L) > SILENT;
-            if (old) {
-                slots.merge(e.getKey(), -e.getValue(), Gossip::sum);
-                peer.namedAt.remove(e.getKey());
+            boolean expired = now - peer.listedAt.getOrDefault(e.getKey(), 0L) > PEER_TIMEOUT_MICROS;
+            if (expired) {
+                totalSlots.merge(e.getKey(), -e.getValue(), Gossip::sumOrNull);
+                peer.listedAt.remove(e.getKey());
             }
-            return old;
+            return expired;
         });
     }
 
-    /** Danger: whoever sends under ever new lives must not fill the memory; the longest silent one goes. */
-    private void makeRoom(int from) {
-        Speaker oldest = null;
-        int lives = 0;
-        for (Map.Entry<Speaker, Peer> e : peers.entrySet()) {
-            if (e.getKey().from() == from) {
-                lives++;
-                oldest = oldest == null || e.getValue().at < peers.get(oldest).at ? e.getKey() : oldest;
+    /**
+     * Removes the incarnation of a dispatcher that was silent longest, if the limit is reached. It bounds the
+     * memory that a sender with constantly changing incarnation numbers can occupy.
+     */
+    private void evictOldestIncarnation(int dispatcher) {
+        Sender oldest = null;
+        int incarnations = 0;
+        for (Map.Entry<Sender, Peer> e : peers.entrySet()) {
+            if (e.getKey().dispatcher() == dispatcher) {
+                incarnations++;
+                oldest = oldest == null || e.getValue().receivedAt < peers.get(oldest).receivedAt ? e.getKey() : oldest;
             }
         }
-        if (lives >= LIVES) {
-            Peer gone = peers.remove(oldest);
-            forget(gone);
-            forgetRates(gone);
+        if (incarnations >= MAX_INCARNATIONS) {
+            Peer evicted = peers.remove(oldest);
+            clearSlots(evicted);
+            clearRates(evicted);
         }
     }
 
-    private static Integer sum(Integer a, Integer b) {
+    /** Returns null for a sum of 0, so that {@link Map#merge} removes the entry. */
+    private static Integer sumOrNull(Integer a, Integer b) {
         return a + b == 0 ? null : Integer.valueOf(a + b);
     }
 
-    private void forget(Peer peer) {
-        peer.slots.forEach((tag, taken) -> slots.merge(tag, -taken, Gossip::sum));
+    private void clearSlots(Peer peer) {
+        peer.slots.forEach((tag, taken) -> totalSlots.merge(tag, -taken, Gossip::sumOrNull));
         peer.slots.clear();
-        peer.namedAt.clear();
+        peer.listedAt.clear();
     }
 
-    private void forgetRates(Peer peer) {
-        peer.rates.forEach((tenant, rate) -> rates.merge(tenant, -rate, Gossip::sum));
+    private void clearRates(Peer peer) {
+        peer.rates.forEach((tenant, rate) -> totalRates.merge(tenant, -rate, Gossip::sumOrNull));
         peer.rates.clear();
     }
 
-    /** Forgets those that have been silent for too long. */
+    /** Discards the state of peers that have sent nothing within the timeout. */
     public void expireSilentPeers(long now) {
         peers.values().removeIf(peer -> {
-            boolean silent = now - peer.at > SILENT;
+            boolean silent = now - peer.receivedAt > PEER_TIMEOUT_MICROS;
             if (silent) {
-                forget(peer);
-                forgetRates(peer);
+                clearSlots(peer);
+                clearRates(peer);
             }
             return silent;
         });
     }
 
-    /** How many others are heard at present, a dispatcher's two lives counted as two. */
+    /** Number of senders whose state is held; two incarnations of a dispatcher count as two. */
     public int peerCount() {
         return peers.size();
     }
 
-    /** Slots that the others' jobs take at a worker, as far as is heard. */
+    /** Slots at a worker that jobs of the other dispatchers occupy, according to their messages. */
     public double slotsTakenByPeers(long name) {
-        return slots.getOrDefault(tag(name), 0);
+        return totalSlots.getOrDefault(tag(name), 0);
     }
 
-    /** The others' jobs a second of a tenant, as far as is heard. */
+    /** Jobs per second of a tenant at the other dispatchers, according to their messages. */
     public double peerJobsPerSecond(int tenant) {
-        return rates.getOrDefault(tenant, 0) / RATE_UNIT;
+        return totalRates.getOrDefault(tenant, 0) / RATE_UNITS_PER_JOB;
     }
 
-    /** Messages that were none of this build's. */
+    /** Number of messages ignored as malformed or of another format version. */
     public long malformedMessages() {
-        return malformed;
+        return malformedMessages;
     }
 
+    /** Identifies a worker in messages: 24 bits of the hash of its name. */
     private static int tag(long name) {
         long mixed = (name ^ name >>> 29) * 0xbf58476d1ce4e5b9L;
         return (int) (mixed >>> 40);
--- a/src/main/java/barrowflow/gossip/package-info.java
+++ b/src/main/java/barrowflow/gossip/package-info.java
@@ -1,2 +1,2 @@
-/** What dispatchers tell one another where they may: when, what, and what is believed. No I/O, no clock. */
+/** State exchange between dispatchers: when to send, what to send and how to merge it. No I/O, no clock. */
 package barrowflow.gossip;
--- a/src/main/java/barrowflow/probing/ProbeRateLimiter.java
+++ b/src/main/java/barrowflow/probing/ProbeRateLimiter.java
@@ -1,44 +1,45 @@
 package barrowflow.probing;
 
 /**
- * How often workers are asked for their load. A probe costs its worker some work and the result a price, and
- * a worker serves only so many; so this dispatcher spends a stated part of the result at most, and all
- * dispatchers together ask one worker about twice a second at most.
+ * Limits the rate of load probes that this dispatcher sends to workers. A probe costs its worker some work and
+ * lowers the objective. A dispatcher therefore spends at most a fixed fraction of the objective on probes,
+ * and all dispatchers together probe one worker at most twice per second.
  *
- * <p>Danger: tokens that are saved up while nothing could be asked would come out as a burst at workers that
- * have just returned; no more than two are kept.
+ * <p>This is a token bucket that holds at most two tokens: a larger balance, saved while no worker could be
+ * probed, would be spent in a burst on workers that have just returned.
  */
 public final class ProbeRateLimiter {
-    /** So much of the result is spent on probes at most. */
-    private static final double SPEND = 0.003;
-    /** All dispatchers together ask a worker no more often than this a second. */
-    private static final double A_WORKER = 2;
+    /** Upper limit on the cost of probes, as a fraction of the objective. */
+    private static final double MAX_COST_FRACTION = 0.003;
+    /** Limit per worker, over all dispatchers. */
+    private static final double MAX_PROBES_PER_WORKER_PER_SECOND = 2;
 
-    private static final double MOST_SAVED = 2;
+    private static final double MAX_TOKENS = 2;
 
     private final int dispatchers;
     private final double price;
-    private double tokens = MOST_SAVED;
-    private long last = Long.MIN_VALUE;
+    private double tokens = MAX_TOKENS;
+    private long lastRefillAt = Long.MIN_VALUE;
 
-    /** @param price of one probe for each job, in parts of the result */
+    /** @param price cost of sending one probe per job, as a fraction of the objective */
     public ProbeRateLimiter(int dispatchers, double price) {
         this.dispatchers = dispatchers;
         this.price = price;
     }
 
-    /** Probes a second that this dispatcher may send. */
+    /** Probes per second that this dispatcher may send. */
     public double allowedProbesPerSecond(int workers, double jobsPerSecond) {
-        double borne = A_WORKER * workers / dispatchers;
-        return price <= 0 ? borne : Math.min(borne, SPEND / price * jobsPerSecond);
+        double workerLimit = MAX_PROBES_PER_WORKER_PER_SECOND * workers / dispatchers;
+        return price <= 0 ? workerLimit : Math.min(workerLimit, MAX_COST_FRACTION / price * jobsPerSecond);
     }
 
-    /** How many workers to ask now; what is not asked stays saved. */
+    /** Refills the bucket and removes all whole tokens; returns the number of workers to probe now. */
     public int takeDueProbes(long now, int workers, double jobsPerSecond) {
-        if (last != Long.MIN_VALUE) {
-            tokens = Math.min(MOST_SAVED, tokens + (now - last) / 1e6 * allowedProbesPerSecond(workers, jobsPerSecond));
+        if (lastRefillAt != Long.MIN_VALUE) {
+            tokens = Math.min(
+                    MAX_TOKENS, tokens + (now - lastRefillAt) / 1e6 * allowedProbesPerSecond(workers, jobsPerSecond));
         }
-        last = now;
+        lastRefillAt = now;
         int due = (int) tokens;
         tokens -= due;
         return due;
--- a/src/main/java/barrowflow/probing/package-info.java
+++ b/src/main/java/barrowflow/probing/package-info.java
@@ -1,2 +1,2 @@
-/** When a worker is asked for its load, where load reports come by probe alone; no I/O, no clock. */
+/** Rate limiting of load probes, for workers that report their load only when probed; no I/O, no clock. */
 package barrowflow.probing;
--- a/src/test/java/barrowflow/adapter/AdapterTest.java
+++ b/src/test/java/barrowflow/adapter/AdapterTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Frames in both directions, and what bad input gets. */
+/** Tests the encoding of frames in both directions and the handling of invalid input. */
 class AdapterTest {
     private static final String SETTINGS = """
         caps.max_attempts=4
@@ -41,7 +41,7 @@
         request_classes.0.worth=1.0
         """;
 
-    /** Builds batches as the bench does. */
+    /** Builds batches in the format that the simulator sends. */
     private static final class Batch {
         final List<byte[]> records = new ArrayList<>();
         final ByteArrayOutputStream tail = new ByteArrayOutputStream();
@@ -104,13 +104,13 @@
 
     /** Offsets of the records with that code in the reply that begins at {@code at}. */
     private static List<Integer> records(ByteBuffer reply, int at, int code) {
-        List<Integer> found = new ArrayList<>();
+        List<Integer> offsets = new ArrayList<>();
         for (int i = 0; i < reply.getInt(at + 4); i++) {
             if ((reply.get(at + 12 + 24 * i) & 0xff) == code) {
-                found.add(at + 12 + 24 * i);
+                offsets.add(at + 12 + 24 * i);
             }
         }
-        return found;
+        return offsets;
     }
 
     @Test
@@ -119,7 +119,10 @@
         assertArrayEquals(new byte[] {7, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}, reply.array());
     }
 
-    /** A word of another instance, a probe's answer and a hint are read; what the module tells goes out. */
+    /**
+     * Peer messages, probe responses and run time hints reach the dispatcher; its own peer messages and probes
+     * are written to the reply.
+     */
     @Test
     void messagesAndProbesPassInBothDirections() throws IOException {
         String settings = SETTINGS + """
@@ -142,20 +145,24 @@
         byte[] second = timer.frame(2, 1_100_000);
         ByteBuffer reply = run(first, second);
         int at = 12 + reply.getInt(8);
-        List<Integer> told = records(reply, at, ReplyWriter.WRITE_PEER);
-        assertEquals(1, told.size());
-        assertEquals(-1, reply.getShort(told.get(0) + 1), "to all");
-        int length = reply.getInt(told.get(0) + 7);
-        int tail = at + 12 + 24 * reply.getInt(at + 4) + reply.getInt(told.get(0) + 3);
+        List<Integer> peerMessages = records(reply, at, ReplyWriter.WRITE_PEER);
+        assertEquals(1, peerMessages.size());
+        assertEquals(-1, reply.getShort(peerMessages.get(0) + 1), "sent to all peers");
+        int length = reply.getInt(peerMessages.get(0) + 7);
+        int tail = at + 12 + 24 * reply.getInt(at + 4) + reply.getInt(peerMessages.get(0) + 3);
         byte[] message = new byte[length];
         reply.get(tail, message);
         assertTrue(length > 0 && length <= 256 && message[0] == 1);
         int probe = records(reply, at, ReplyWriter.ASK_LOAD).get(0);
         assertEquals(0x0a124a07, reply.getInt(probe + 1));
 
-        String untold = settings.replace("domain.report_x0=free_slots", "domain.report_x0=something");
-        ByteBuffer none = run(new Batch().on(5).up(untold).oneWorker().knock(1).frame(1, 1_000_000), second);
-        assertEquals(List.of(), records(none, 12 + none.getInt(8), ReplyWriter.ASK_LOAD), "nothing to learn");
+        String withoutFreeSlots = settings.replace("domain.report_x0=free_slots", "domain.report_x0=something");
+        ByteBuffer none =
+                run(new Batch().on(5).up(withoutFreeSlots).oneWorker().knock(1).frame(1, 1_000_000), second);
+        assertEquals(
+                List.of(),
+                records(none, 12 + none.getInt(8), ReplyWriter.ASK_LOAD),
+                "no probes if reports do not include free slots");
 
         Batch third = new Batch().on(5);
         third.record(110)
@@ -167,16 +174,16 @@
         message[1]++;
         third.record(90).putInt(1, 0).putInt(5, third.tail.size()).putInt(9, length);
         third.tail.writeBytes(message);
-        ByteBuffer quiet = run(first, second, third.frame(3, 1_100_001), timer.frame(4, 1_200_000));
-        int last = quiet.capacity() - 1;
+        ByteBuffer withPeer = run(first, second, third.frame(3, 1_100_001), timer.frame(4, 1_200_000));
+        int last = withPeer.capacity() - 1;
         assertTrue(last > 0);
         int next = at + 12 + reply.getInt(at + 8);
-        int fourth = next + 12 + quiet.getInt(next + 8);
-        assertEquals(List.of(), records(quiet, fourth, ReplyWriter.ASK_LOAD), "nobody is asked while one is heard");
+        int fourth = next + 12 + withPeer.getInt(next + 8);
+        assertEquals(List.of(), records(withPeer, fourth, ReplyWriter.ASK_LOAD), "no probes while a peer is heard");
     }
 
     @Test
-    void aDayOfOneRequest() throws IOException {
+    void aRequestIsHeldSentAndFailedAfterATimeout() throws IOException {
         byte[] start = new Batch().on(5).up(SETTINGS).oneWorker().frame(1, 1_000_000);
         ByteBuffer first = run(start);
         assertEquals(1, records(first, 0, ReplyWriter.KEEP_INFORMED).size());
@@ -188,7 +195,7 @@
         ring.record(40).putLong(1, first.getLong(timer + 9));
         ByteBuffer all = run(start, ask.frame(2, due), ring.frame(3, due));
         int second = 12 + first.getInt(8);
-        assertEquals(0, all.getInt(second + 4), "held");
+        assertEquals(0, all.getInt(second + 4), "the request is held");
         int third = second + 12;
         int sent = records(all, third, ReplyWriter.PASS_ON).get(0);
         assertEquals(1L << 40, all.getLong(sent + 1));
@@ -200,11 +207,11 @@
         settled.record(30).putLong(1, 1L << 40).putShort(16, (short) 110);
         ByteBuffer end = run(start, ask.frame(2, due), ring.frame(3, due), settled.frame(4, due + 4_999_999));
         int fourth = third + 12 + all.getInt(third + 8);
-        assertEquals(1, records(end, fourth, ReplyWriter.FINISH_ERROR).size(), "it may have run, so it fails");
+        assertEquals(1, records(end, fourth, ReplyWriter.FINISH_ERROR).size(), "an unsafe job that may have run fails");
     }
 
     @Test
-    void aKilledInstanceForgetsAndAnswersNothing() throws IOException {
+    void aCrashedInstanceLosesItsStateAndRepliesNothing() throws IOException {
         Batch kill = new Batch().on(5);
         kill.record(80);
         Batch after = new Batch().on(5).knock(1);
@@ -222,7 +229,7 @@
     }
 
     @Test
-    void unknownCodesArePassedOver() throws IOException {
+    void unknownRecordCodesAreIgnored() throws IOException {
         Batch odd = new Batch().on(5).up(SETTINGS);
         odd.record(222);
         odd.record(10);
@@ -232,7 +239,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"request_classes.0.effect", "obligations.cold_from", "instances"})
-    void aMissingOrUnreadableSettingIsNamedInADie(String setting) throws IOException {
+    void aMissingOrInvalidSettingIsNamedInTheDieRecord(String setting) throws IOException {
         for (String with : new String[] {"", setting + "=?\n"}) {
             String text = SETTINGS.replaceAll(setting.replace(".", "\\.") + "=.*\n", with);
             ByteBuffer reply = run(new Batch().on(5).up(text).frame(1, 1));
@@ -245,7 +252,7 @@
     }
 
     @Test
-    void anExceptionOfOneInstanceBecomesItsDieAndLeavesTheRest() throws IOException {
+    void anExceptionOfOneInstanceDoesNotAffectTheOthers() throws IOException {
         Batch batch = new Batch().on(1).up(SETTINGS).on(2).up(SETTINGS).on(1);
         batch.record(60).putLong(1, 9).putShort(9, (short) 77);
         batch.on(2).oneWorker().knock(3);
@@ -255,7 +262,7 @@
     }
 
     @Test
-    void malformedFramesAreToldWithTheirPlace() {
+    void malformedFramesAreReportedWithTheirOffset() {
         byte[] good = new Batch().on(5).up(SETTINGS).frame(1, 1);
         assertEquals(
                 "malformed frame: input ends within a header at byte 5",
@@ -279,7 +286,7 @@
         tail[20 + 48 + 13 + 2] = 1;
         assertTrue(assertThrows(MalformedFrameException.class, () -> run(tail))
                 .getMessage()
-                .contains("beyond the frame"));
+                .contains("offset field refers to bytes beyond the frame"));
         Batch noInstance = new Batch().knock(1);
         assertTrue(assertThrows(MalformedFrameException.class, () -> run(good, noInstance.frame(2, 2)))
                 .getMessage()
@@ -316,7 +323,7 @@
         int sends = 0;
         for (int reply = 1; reply <= 7; reply++) {
             sends += records(all, at, ReplyWriter.PASS_ON).size();
-            assertEquals(reply < 3 ? 0 : 1, sends, "the second waits: the worker reported no free slot");
+            assertEquals(reply < 3 ? 0 : 1, sends, "the second request waits, as the worker reported no free slot");
             at += 12 + all.getInt(at + 8);
         }
     }
