--- a/src/test/java/barrowflow/ColdRampTest.java
+++ b/src/test/java/barrowflow/ColdRampTest.java
@@ -19,27 +19,30 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What all dispatchers together send to workers that have just started, under a burst in which every job is
- * offered, against what the settings allow: N requests of mean work in the window, and for chance twice the
- * root of N and two more.
+ * Tests that all dispatchers together do not overload workers that have just started, during a burst of jobs.
+ * The settings allow N requests of mean work in the window; for random variation the test allows twice the
+ * square root of N plus two more.
  */
 class ColdRampTest {
     private static final int WARM = 12;
     private static final int COLD = 4;
-    private static final long BURST = 4_000_000;
-    /** Traffic over what the warm workers can do, before the burst and in it. */
-    private static final double USUAL = 0.6;
+    private static final long BURST_MICROS = 4_000_000;
+    /** Load relative to the capacity of the warm workers, before the burst. */
+    private static final double BASE_LOAD = 0.6;
 
-    private static final double IN_BURST = 2;
-    /** Cold workers' speed over the others': of a slower kind, with more slots than cores. */
-    private static final double SLOWER = 0.5;
-    /** How long there was traffic before: too short for any job to end, and long enough for some. */
-    private static final long UNLEARNED = 300_000;
+    /** Load relative to the capacity of the warm workers, during the burst. */
+    private static final double BURST_LOAD = 2;
+    /** Speed of cold workers relative to the others: a slower kind with more slots than cores. */
+    private static final double COLD_SPEED_RATIO = 0.5;
+    /** Duration of the traffic before the burst that is too short for any job to end. */
+    private static final long SHORT_HISTORY_MICROS = 300_000;
+
+    /** Duration of the traffic before the burst that is long enough for some jobs to end. */
+    private static final long LONG_HISTORY_MICROS = 4_000_000;
 
-    private static final long LEARNED = 4_000_000;
     private static final int SEEDS = Integer.getInteger("seeds", 2);
 
-    /** A class's true work, of which a dispatcher is told nothing but the aim. */
+    /** True work of a job class, in microseconds; the dispatcher's settings contain only its target latency. */
     private record Work(
             double mean,
             double cv,
@@ -50,13 +53,13 @@
             Effect effect,
             double part) {}
 
-    private record Site(
+    private record Workload(
             String name, Cold cold, int slots, double speed, int attempts, boolean copies, List<Work> works) {
         double meanWork() {
             return works.stream().mapToDouble(w -> w.mean * w.part).sum();
         }
 
-        Settings settings(int dispatchers, boolean hear) {
+        Settings settings(int dispatchers, boolean peerMessages) {
             List<JobClass> classes = new ArrayList<>();
             for (Work w : works) {
                 classes.add(new JobClass(w.aim, w.stretch, w.deadline, w.worth, 0, w.effect, Group.ALL, 5_000_000, -1));
@@ -76,7 +79,7 @@
                     0,
                     copies,
                     new Objective(0.7, 0.2, false),
-                    new LoadSources(hear, 0, false, 0, false));
+                    new LoadSources(peerMessages, 0, false, 0, false));
         }
 
         @Override
@@ -85,7 +88,7 @@
         }
     }
 
-    private static final Site BRIEF_JOBS = new Site(
+    private static final Workload BRIEF_JOBS = new Workload(
             "jobs of tenths of a second",
             new Cold(0.13, 24_000_000, 4, 2_000_000),
             5,
@@ -97,7 +100,7 @@
                     new Work(500_000, 0.4, 400_000, 2, 6_000_000, 2, Effect.SAFE, 0.3),
                     new Work(500_000, 0.4, 150_000, 2.5, 6_000_000, 5, Effect.UNSAFE, 0.24),
                     new Work(500_000, 0.5, 250_000, 2, 6_000_000, 3, Effect.KEYED, 0.16)));
-    private static final Site LONG_JOBS = new Site(
+    private static final Workload LONG_JOBS = new Workload(
             "jobs of seconds",
             new Cold(0.15, 23_000_000, 3, 2_000_000),
             4,
@@ -108,7 +111,7 @@
                     new Work(800_000, 2, 600_000, 2, 10_000_000, 1, Effect.SAFE, 0.37),
                     new Work(5_000_000, 2.2, 1_500_000, 2, 25_000_000, 2, Effect.SAFE, 0.36),
                     new Work(3_400_000, 2, 2_500_000, 2, 25_000_000, 3, Effect.KEYED, 0.27)));
-    private static final Site MIXED_JOBS = new Site(
+    private static final Workload MIXED_JOBS = new Workload(
             "jobs of a second or two",
             new Cold(0.15, 24_000_000, 2.5, 3_000_000),
             6,
@@ -119,29 +122,35 @@
                     new Work(900_000, 0.5, 750_000, 2, 10_000_000, 5, Effect.KEYED, 0.65),
                     new Work(1_800_000, 0.5, 500_000, 2, 20_000_000, 3, Effect.UNSAFE, 0.35)));
 
-    static Stream<Site> sites() {
+    static Stream<Workload> workloads() {
         return Stream.of(BRIEF_JOBS, LONG_JOBS, MIXED_JOBS);
     }
 
     private record Peak(double reached, double allowed) {
-        Peak or(Peak other) {
+        Peak max(Peak other) {
             return other.reached / other.allowed > reached / allowed ? other : this;
         }
     }
 
     /**
-     * The stage of a run.
+     * Parameters of one simulated run.
      *
-     * @param hear whether the dispatchers hear each other
-     * @param back whether the cold workers were there before, so that each dispatcher owes them a job
-     * @param before how long there is traffic before they start, microseconds
-     * @param dear whether the burst is of the dearest class alone
+     * @param peerMessages whether the dispatchers exchange messages
+     * @param returning whether the cold workers were listed before, so that each dispatcher reserves them a job
+     * @param historyMicros duration of the traffic before the cold workers start
+     * @param expensiveOnly whether the burst consists only of the class with the most work
      */
-    private record Stage(Site site, int dispatchers, boolean hear, boolean back, long before, boolean dear) {
-        /** Of all jobs in the burst, the part that the class has. */
+    private record RunSetup(
+            Workload workload,
+            int dispatchers,
+            boolean peerMessages,
+            boolean returning,
+            long historyMicros,
+            boolean expensiveOnly) {
+        /** Fraction of the jobs in the burst that belong to the class. */
         double part(Work work) {
-            double most = site.works.stream().mapToDouble(w -> w.mean).max().orElseThrow();
-            return !dear ? work.part : work.mean == most ? 1 : 0;
+            double most = workload.works.stream().mapToDouble(w -> w.mean).max().orElseThrow();
+            return !expensiveOnly ? work.part : work.mean == most ? 1 : 0;
         }
     }
 
@@ -149,112 +158,119 @@
         return new Worker(id, 0, 0, 0, state, startedAt);
     }
 
-    /** The worst of the cold workers: what one got within a window over what it may get then. */
-    private static Peak peak(Stage stage, long seed) {
-        Site site = stage.site;
-        Settings settings = site.settings(stage.dispatchers, stage.hear);
-        FleetModel fleet = new FleetModel(seed);
+    /** Returns the largest ratio of work received in a window to work allowed, over all cold workers. */
+    private static Peak peak(RunSetup setup, long seed) {
+        Workload workload = setup.workload;
+        Settings settings = workload.settings(setup.dispatchers, setup.peerMessages);
+        FleetSimulation fleet = new FleetSimulation(seed);
         for (long id = 1; id <= WARM; id++) {
-            fleet.machine(worker(id, WorkerState.READY, 0), site.slots, site.speed);
+            fleet.addMachine(worker(id, WorkerState.READY, 0), workload.slots, workload.speed);
         }
-        fleet.nodes(stage.dispatchers, settings);
-        traffic(fleet, stage);
-        long first = stage.back ? 1 : WARM + 1;
-        long start = fleet.now + stage.before;
+        fleet.addNodes(setup.dispatchers, settings);
+        traffic(fleet, setup);
+        long first = setup.returning ? 1 : WARM + 1;
+        long start = fleet.now + setup.historyMicros;
         for (long id = first; id < first + COLD; id++) {
-            long its = id;
-            if (stage.back) {
-                fleet.at(
-                        start - stage.before / 2,
-                        () -> fleet.join(worker(its, WorkerState.GONE, 0), site.slots, site.speed));
+            long workerId = id;
+            if (setup.returning) {
+                fleet.schedule(
+                        start - setup.historyMicros / 2,
+                        () -> fleet.announceWorker(
+                                worker(workerId, WorkerState.GONE, 0), workload.slots, workload.speed));
             }
-            fleet.at(start, () -> fleet.join(worker(its, WorkerState.READY, start), site.slots, site.speed * SLOWER));
+            fleet.schedule(
+                    start,
+                    () -> fleet.announceWorker(
+                            worker(workerId, WorkerState.READY, start),
+                            workload.slots,
+                            workload.speed * COLD_SPEED_RATIO));
         }
-        fleet.run(stage.before + BURST);
+        fleet.run(setup.historyMicros + BURST_MICROS);
         Peak worst = new Peak(0, 1);
         for (long id = first; id < first + COLD; id++) {
-            worst = worst.or(peakOf(site, settings, fleet.machines.get(id)));
+            worst = worst.max(peakOf(workload, settings, fleet.machines.get(id)));
         }
         return worst;
     }
 
-    private static void traffic(FleetModel fleet, Stage stage) {
-        Site site = stage.site;
-        double capacity = WARM * site.slots * site.speed * 1e6;
+    private static void traffic(FleetSimulation fleet, RunSetup setup) {
+        Workload workload = setup.workload;
+        double capacity = WARM * workload.slots * workload.speed * 1e6;
         double burst =
-                site.works.stream().mapToDouble(w -> w.mean * stage.part(w)).sum();
-        for (int c = 0; c < site.works.size(); c++) {
-            Work w = site.works.get(c);
-            fleet.spread(c, capacity / site.meanWork() * USUAL * w.part, w.mean, w.cv, 0, stage.before);
-            if (stage.part(w) > 0) {
-                double perSecond = capacity / burst * IN_BURST * stage.part(w);
-                fleet.spread(c, perSecond, w.mean, w.cv, stage.before, BURST);
+                workload.works.stream().mapToDouble(w -> w.mean * setup.part(w)).sum();
+        for (int c = 0; c < workload.works.size(); c++) {
+            Work w = workload.works.get(c);
+            fleet.lognormalTraffic(
+                    c, capacity / workload.meanWork() * BASE_LOAD * w.part, w.mean, w.cv, 0, setup.historyMicros);
+            if (setup.part(w) > 0) {
+                double perSecond = capacity / burst * BURST_LOAD * setup.part(w);
+                fleet.lognormalTraffic(c, perSecond, w.mean, w.cv, setup.historyMicros, BURST_MICROS);
             }
         }
     }
 
-    private static Peak peakOf(Site site, Settings settings, FleetModel.Machine m) {
+    private static Peak peakOf(Workload workload, Settings settings, FleetSimulation.Machine m) {
         Peak worst = new Peak(0, 1);
         for (int last = 0; last < m.arrivals.size(); last++) {
             long end = m.arrivals.get(last)[0];
             double work = 0;
-            for (int i = last; i >= 0 && m.arrivals.get(i)[0] > end - site.cold.overloadWindow(); i--) {
-                // What a job takes beyond its class's mean no dispatcher can know.
-                work += site.works.get((int) m.arrivals.get(i)[2]).mean;
+            for (int i = last; i >= 0 && m.arrivals.get(i)[0] > end - workload.cold.overloadWindow(); i--) {
+                // The mean of the class: no dispatcher can know how far a job deviates from it.
+                work += workload.works.get((int) m.arrivals.get(i)[2]).mean;
             }
-            double capacity = FleetModel.warmth(m.worker, end, settings) * m.slots * m.speed;
-            double n = site.cold.overloadFactor() * capacity * site.cold.overloadWindow() / site.meanWork();
+            double capacity = FleetSimulation.warmth(m.worker, end, settings) * m.slots * m.speed;
+            double n = workload.cold.overloadFactor() * capacity * workload.cold.overloadWindow() / workload.meanWork();
             double allowed = n + 2 * Math.sqrt(n) + 2;
-            double reached = work / site.meanWork();
-            worst = worst.or(new Peak(reached, allowed));
+            double reached = work / workload.meanWork();
+            worst = worst.max(new Peak(reached, allowed));
         }
         return worst;
     }
 
-    private static void assertNoneFalls(Stage stage, int seeds) {
+    private static void assertNoOverload(RunSetup setup, int seeds) {
         for (long seed = 1; seed <= seeds; seed++) {
-            Peak peak = peak(stage, seed);
-            assertTrue(peak.reached <= peak.allowed, peak + ", seed " + seed + ", " + stage);
+            Peak peak = peak(setup, seed);
+            assertTrue(peak.reached <= peak.allowed, peak + ", seed " + seed + ", " + setup);
         }
     }
 
     @ParameterizedTest
-    @MethodSource("sites")
-    void aFewOrSomeDispatchersTogetherLeaveColdWorkersStanding(Site site) {
+    @MethodSource("workloads")
+    void dozensOfDispatchersDoNotOverloadColdWorkers(Workload workload) {
         for (int dispatchers : new int[] {2, 5, 20, 30}) {
             for (int choice = 0; choice < 16; choice++) {
-                assertNoneFalls(
-                        new Stage(
-                                site,
+                assertNoOverload(
+                        new RunSetup(
+                                workload,
                                 dispatchers,
                                 (choice & 1) > 0,
                                 (choice & 2) > 0,
-                                (choice & 4) > 0 ? LEARNED : UNLEARNED,
+                                (choice & 4) > 0 ? LONG_HISTORY_MICROS : SHORT_HISTORY_MICROS,
                                 (choice & 8) > 0),
                         SEEDS);
             }
         }
     }
 
-    /** Hearing each other is left out: in a model each message costs as much as a job. */
+    /** Without peer messages: in the simulation each message costs as much computing time as a job. */
     @ParameterizedTest
-    @MethodSource("sites")
-    void hundredsOfDispatchersThatHearNobodyDoSo(Site site) {
+    @MethodSource("workloads")
+    void hundredsOfDispatchersWithoutMessagesDoNotOverloadColdWorkers(Workload workload) {
         for (int dispatchers : new int[] {100, 200}) {
-            for (boolean back : new boolean[] {false, true}) {
-                assertNoneFalls(new Stage(site, dispatchers, false, back, LEARNED, false), 1);
+            for (boolean returning : new boolean[] {false, true}) {
+                assertNoOverload(new RunSetup(workload, dispatchers, false, returning, LONG_HISTORY_MICROS, false), 1);
             }
         }
     }
 
     /**
-     * Short jobs end first, and what is learned of a class by the first few of them is far too little.
-     * Danger: each dispatcher would owe a worker that came back a job of seconds, and draw more of them.
+     * Short jobs end first, so the run time learned from the first few jobs of a class is far too low. Each
+     * dispatcher would then reserve a returning worker a job of several seconds, and grant it more of them.
      */
     @Test
-    void aClassKnownByAFewShortJobsIsNotTakenForACheapOne() {
+    void aFewShortJobsDoNotMakeAClassCountAsCheap() {
         for (int dispatchers : new int[] {5, 20}) {
-            assertNoneFalls(new Stage(LONG_JOBS, dispatchers, false, true, LEARNED, false), 60);
+            assertNoOverload(new RunSetup(LONG_JOBS, dispatchers, false, true, LONG_HISTORY_MICROS, false), 60);
         }
     }
 }
--- a/src/test/java/barrowflow/ExampleHostTest.java
+++ b/src/test/java/barrowflow/ExampleHostTest.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** The README's example host works, and stands in the README as it stands here. */
+/** Checks that the example host of the README works and that the README shows the compiled source. */
 class ExampleHostTest {
 
     @Test
@@ -20,6 +20,6 @@
         String source = Files.readString(Path.of("src/test/java/barrowflow/ExampleHost.java"));
         String body = source.substring(source.indexOf("final class"));
         String readme = Files.readString(Path.of("README.md"));
-        assertEquals(true, readme.contains(body.strip()), "the README has gone stale");
+        assertEquals(true, readme.contains(body.strip()), "the README shows an outdated example");
     }
 }
--- a/src/test/java/barrowflow/FakeHost.java
+++ b/src/test/java/barrowflow/FakeHost.java
@@ -13,11 +13,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A host for tests: it records what the module asks for, and rings its timers. */
+/** Host for tests: records the actions of the dispatcher and fires its timers on a virtual clock. */
 final class FakeHost implements Dispatcher.Actions {
     record Sent(long request, long worker, long at) {}
 
-    /** The module's period under these settings. */
+    /** Length of the dispatcher's period under these settings, in microseconds. */
     static final long PERIOD = 25_000;
 
     static final JobClass SAFE = jobClass(Effect.SAFE, Group.ALL, 1, 0);
@@ -67,7 +67,7 @@
         return new Worker(id, 0, 0, 0, WorkerState.READY, 0);
     }
 
-    /** Workers 1 to n of one zone, all ready. */
+    /** Lists workers 1 to n, all ready and in one zone. */
     FakeHost withWorkers(int n) {
         List<Worker> list = new ArrayList<>();
         for (int i = 1; i <= n; i++) {
@@ -81,7 +81,7 @@
         module.request(now, id, jobClass, 0, 0, 5_000_000, 1, 0);
     }
 
-    /** Lets time pass, ringing the module's timers. */
+    /** Advances the clock and fires the dispatcher's timers. */
     void pass(long micros) {
         long end = now + micros;
         while (timerAt <= end) {
@@ -100,7 +100,7 @@
         module.ended(now, request, attempt, outcome, outcome == Outcome.SERVED, Double.NaN, Double.NaN);
     }
 
-    /** Runs one job to its end on whichever worker gets it; gives that worker's id. */
+    /** Runs one job to its end; returns the id of the worker it was sent to. */
     long runOne(long id, int jobClass, long micros) {
         request(id, jobClass);
         pass(300_000 - 1);
@@ -111,7 +111,7 @@
         return s.worker();
     }
 
-    /** Ends every attempt that is still out; gives their number. */
+    /** Ends every attempt that has not ended yet; returns their number. */
     int endAll(Outcome outcome) {
         int from = endedUpTo;
         for (; endedUpTo < sent.size(); endedUpTo++) {
--- a/src/test/java/barrowflow/FleetLimitsTest.java
+++ b/src/test/java/barrowflow/FleetLimitsTest.java
@@ -14,7 +14,10 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Lists and fleets that no day shows: thousands of workers, none, all cold or suspected, lists that flap. */
+/**
+ * Tests extreme worker lists: thousands of workers, none, all cold, all suspected, and entries that change
+ * state constantly.
+ */
 class FleetLimitsTest {
     private static final int NODES = 14;
 
@@ -28,7 +31,7 @@
                 .toList();
     }
 
-    /** A job now and then, each served once it is sent; gives how many were. */
+    /** Sends jobs at intervals and serves each that is dispatched; returns the number served. */
     private static int serve(FakeHost host, long firstId, int jobs) {
         int served = 0;
         for (int i = 0; i < jobs; i++) {
@@ -44,48 +47,49 @@
     }
 
     @Test
-    void aListOfThousandsThatEmptiesHalvesAndDoublesIsFollowedAtOnce() {
+    void largeChangesOfTheListTakeEffectAtOnce() {
         FakeHost host = host(3);
         host.module.workers(host.now, ListKind.WHOLE, workers(1, 5_000, 0));
         assertEquals(20, serve(host, 1, 20));
         host.module.workers(host.now, ListKind.WHOLE, List.of());
-        assertEquals(0, serve(host, 100, 5), "nobody is there");
+        assertEquals(0, serve(host, 100, 5), "no workers");
         host.module.workers(host.now, ListKind.WHOLE, workers(1, 2_500, 0));
         assertEquals(20, serve(host, 200, 20));
         host.module.workers(host.now, ListKind.WHOLE, workers(2_501, 2_600, 0));
         int before = host.sent.size();
         assertEquals(20, serve(host, 300, 20));
-        assertTrue(host.sent.stream().skip(before).allMatch(s -> s.worker() > 2_500), "sent to one that is gone");
+        assertTrue(host.sent.stream().skip(before).allMatch(s -> s.worker() > 2_500), "sent to a removed worker");
         host.module.workers(host.now, ListKind.WHOLE, workers(1, 5_000, 0));
         assertEquals(20, serve(host, 400, 20));
     }
 
     /**
-     * A hundred dispatchers over 60 workers, jobs a hundred periods long and longer: the few workers that one
-     * trades with have sold what they have for seconds. Danger: its jobs would be refused while slots idle.
+     * A hundred dispatchers share 60 workers, and jobs run for a hundred periods or longer. The few workers
+     * that one dispatcher uses then have no quota left for seconds, and jobs would be refused although slots
+     * are free at others. They go to workers at which earlier jobs started at once.
      */
     @Test
-    void whereJobsAreLongAndDispatchersManyTheyGoWhereverOnesBeforeThemBeganAtOnce() {
-        for (int together : new int[] {5, 25}) {
-            assertNoneRefused(together);
+    void longJobsOfManyDispatchersAreNotRefusedWhileSlotsAreFree() {
+        for (int maxRunning : new int[] {5, 25}) {
+            assertNoneRefused(maxRunning);
         }
     }
 
-    private static void assertNoneRefused(int together) {
+    private static void assertNoneRefused(int maxRunning) {
         FakeHost host = new FakeHost(FakeHost.settings(100, List.of(), FakeHost.SAFE), 5);
         host.module.workers(host.now, ListKind.WHOLE, workers(1, 60, 0));
         Deque<Long> running = new ArrayDeque<>();
-        int begun = 0;
+        int started = 0;
         for (long i = 0; i < 200; i++) {
             host.request(i, 0);
             for (int period = 0; period < 20; period++) {
-                for (; begun < host.sent.size(); begun++) {
-                    host.started(host.sent.get(begun).request(), 0);
-                    running.add(host.sent.get(begun).request());
+                for (; started < host.sent.size(); started++) {
+                    host.started(host.sent.get(started).request(), 0);
+                    running.add(host.sent.get(started).request());
                 }
                 host.pass(FakeHost.PERIOD);
             }
-            if (running.size() > together) {
+            if (running.size() > maxRunning) {
                 host.ended(running.remove(), 0, Outcome.SERVED);
             }
         }
@@ -94,7 +98,7 @@
     }
 
     @Test
-    void entriesThatFlapNeverGetAJobWhileTheyAreDraining() {
+    void flappingWorkersGetNoJobWhileDraining() {
         FakeHost host = host(4);
         host.module.workers(host.now, ListKind.WHOLE, workers(1, 20, 0));
         for (int i = 0; i < 200; i++) {
@@ -113,45 +117,45 @@
         assertTrue(host.sent.size() > 300, "only " + host.sent.size() + " of 400 jobs were sent");
     }
 
-    /** Danger: 14 nodes that ask again at once would keep discovery busy with calls that fail. */
+    /** If 14 nodes repeated failed calls at once, they would keep discovery busy with failing calls. */
     @Test
-    void aDiscoveryThatFailsForMinutesIsAskedAtARateThatDoesNotGrow() {
+    void failingDiscoveryIsCalledAtAConstantRate() {
         FakeHost host = host(5);
         host.module.workers(host.now, ListKind.CACHED, workers(1, 60, 0));
-        int[] asked = new int[4];
+        int[] calls = new int[4];
         for (int quarter = 0; quarter < 4; quarter++) {
             long end = host.now + 45_000_000;
-            int seen = host.watches;
+            int counted = host.watches;
             while (host.now < end) {
                 host.pass(FakeHost.PERIOD);
-                if (host.watches > seen) {
-                    asked[quarter] += host.watches - seen;
-                    seen = host.watches;
+                if (host.watches > counted) {
+                    calls[quarter] += host.watches - counted;
+                    counted = host.watches;
                     host.module.workers(host.now, ListKind.FAILED, List.of());
-                } else if (quarter == 0 && asked[0] == 0) {
-                    asked[0]++;
+                } else if (quarter == 0 && calls[0] == 0) {
+                    calls[0]++;
                     host.module.workers(host.now, ListKind.FAILED, List.of());
                 }
             }
         }
         for (int quarter = 0; quarter < 4; quarter++) {
-            assertTrue(asked[quarter] >= 45 && asked[quarter] <= 70, "asked " + asked[quarter] + " times");
+            assertTrue(calls[quarter] >= 45 && calls[quarter] <= 70, "called " + calls[quarter] + " times");
         }
-        assertEquals(10, serve(host, 1, 10), "it serves from the list it knows");
+        assertEquals(10, serve(host, 1, 10), "jobs are served from the last known list");
     }
 
     @Test
-    void aFleetThatIsColdAsAWholeIsUsed() {
+    void anEntirelyColdFleetIsUsed() {
         FakeHost host = host(6);
         host.module.workers(host.now, ListKind.WHOLE, workers(1, 60, host.now));
-        // By this node's part alone of what the slowest warming allows: a tenth of its jobs, of 14 nodes.
+        // One of 14 nodes may send only its part of what the slowest warm-up allows: a tenth of its jobs.
         serve(host, 1, 100);
         assertTrue(host.sent.size() >= 8, "only " + host.sent.size() + " of 100 jobs were sent");
     }
 
-    /** Every worker refuses connections for a while; none is left out for good. */
+    /** Every worker refuses connections for a while; none may be excluded permanently. */
     @Test
-    void aFleetThatIsSuspectedAsAWholeIsTriedAgain() {
+    void anEntirelySuspectedFleetIsTriedAgain() {
         FakeHost host = host(7);
         host.module.workers(host.now, ListKind.WHOLE, workers(1, 12, 0));
         for (long id = 1; id <= 60; id++) {
@@ -160,8 +164,8 @@
             host.endAll(Outcome.CONNECT_FAILED);
         }
         int tried = host.sent.size();
-        assertTrue(tried <= 60, "dead workers used up " + tried + " attempts");
+        assertTrue(tried <= 60, "unreachable workers used " + tried + " attempts");
         host.pass(120_000_000);
-        assertTrue(serve(host, 1_000, 20) >= 18, "they are back, and still left out");
+        assertTrue(serve(host, 1_000, 20) >= 18, "recovered workers are still excluded");
     }
 }
--- a/src/test/java/barrowflow/MarketTest.java
+++ b/src/test/java/barrowflow/MarketTest.java
@@ -19,11 +19,11 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The market: quotas, prices, learning, and its exceptions. */
+/** Tests the per-worker market: quotas, prices, learned run times and the cases in which other rules apply. */
 class MarketTest {
 
     @Test
-    void anUnlearnedWorkerGetsOneJobAClassAPeriod() {
+    void aWorkerWithoutLearnedTimesGetsOneJobPerClassAndPeriod() {
         FakeHost host = new FakeHost(FakeHost.SAFE, FakeHost.UNSAFE).withWorkers(1);
         for (int i = 0; i < 3; i++) {
             host.request(i, 0);
@@ -51,23 +51,24 @@
                 true);
     }
 
-    /** Danger: where a cancel stops no work, each copy is a job's work for nothing. */
+    /** If cancelling does not stop a running job, the work of every unneeded copy is wasted. */
     @Test
-    void aCopyIsMadeOnlyWhereOthersWaitsSayThatItSavesTheJob() {
+    void aJobIsCopiedOnlyIfObservedWaitsShowABenefit() {
         for (int waits = 0; waits <= 1; waits++) {
-            FakeHost host = taught(new FakeHost(copying(FakeHost.SAFE), 5).withWorkers(4), waits == 1 ? 5 : 0);
+            FakeHost host = withLearnedJobs(new FakeHost(copying(FakeHost.SAFE), 5).withWorkers(4), waits == 1 ? 5 : 0);
             host.request(1, 0);
             host.pass(5 * FakeHost.PERIOD);
-            assertEquals(2 - waits, host.sends(1), waits == 1 ? "others began soon" : "none was seen to wait");
+            assertEquals(
+                    2 - waits, host.sends(1), waits == 1 ? "other waiting jobs started soon" : "no other job waited");
         }
     }
 
-    /** The host's module has served jobs that began at once; each so-and-so-manyeth waited six periods. */
-    private static FakeHost taught(FakeHost host, int eachWaits) {
+    /** Serves 200 jobs that start at once, except that every n-th waits six periods ({@code delayedEvery} = n). */
+    private static FakeHost withLearnedJobs(FakeHost host, int delayedEvery) {
         for (long id = 1_000; id < 1_200; id++) {
             host.request(id, 0);
             host.pass(FakeHost.PERIOD);
-            host.pass(eachWaits > 0 && id % eachWaits == 0 ? 5 * FakeHost.PERIOD : 0);
+            host.pass(delayedEvery > 0 && id % delayedEvery == 0 ? 5 * FakeHost.PERIOD : 0);
             if (host.sends(id) > 0) {
                 host.started(id, 0);
                 host.pass(2 * FakeHost.PERIOD);
@@ -79,14 +80,17 @@
         return host;
     }
 
-    /** Nobody knows of a queue before a job stands in it; it stands in another, too, if it may run twice. */
+    /**
+     * A queue at a worker is noticed only once a job waits in it. A job that may run twice is then copied to a
+     * second worker.
+     */
     @Test
-    void ofTwoCopiesOfAWaitingJobTheFirstToStartGoesOn() {
+    void theFirstOfTwoCopiesToStartContinues() {
         for (int copyStarts = 0; copyStarts <= 1; copyStarts++) {
-            FakeHost host = taught(new FakeHost(copying(FakeHost.SAFE), 5).withWorkers(3), 0);
+            FakeHost host = withLearnedJobs(new FakeHost(copying(FakeHost.SAFE), 5).withWorkers(3), 0);
             host.request(1, 0);
             host.pass(40 * FakeHost.PERIOD);
-            assertEquals(2, host.sent.size(), "two are out at most");
+            assertEquals(2, host.sent.size(), "at most two attempts at a time");
             assertNotEquals(host.sent.get(0).worker(), host.sent.get(1).worker());
             host.started(1, copyStarts);
             assertEquals(List.of("1/" + (1 - copyStarts)), host.cancelled);
@@ -94,7 +98,7 @@
             assertEquals("1/" + (1 - copyStarts), host.cancelled.get(host.cancelled.size() - 1));
             host.ended(1, 1 - copyStarts, Outcome.CANCELLED);
             host.pass(40 * FakeHost.PERIOD);
-            assertEquals(2, host.sent.size(), "one runs, so there is no further copy");
+            assertEquals(2, host.sent.size(), "no further copy while one runs");
             host.ended(1, copyStarts, Outcome.SERVED);
             assertTrue(host.refused.isEmpty() && host.failed.isEmpty());
         }
@@ -116,7 +120,7 @@
                             new Worker(2, 0, 1, 0, WorkerState.READY, 0),
                             FakeHost.worker(4),
                             new Worker(5, 0, 1, 0, WorkerState.READY, 0)));
-            taught(keyed, 0).request(1, 0);
+            withLearnedJobs(keyed, 0).request(1, 0);
             keyed.pass(60 * FakeHost.PERIOD);
             assertEquals(2, keyed.sent.size());
             assertEquals(keyed.sent.get(0).worker() % 3, keyed.sent.get(1).worker() % 3, "seed " + seed);
@@ -124,7 +128,7 @@
     }
 
     @Test
-    void whatNobodyTakesWaitsAPeriod() {
+    void aJobWithoutOfferWaitsAPeriod() {
         FakeHost host = new FakeHost(FakeHost.SAFE).withWorkers(1);
         host.request(1, 0);
         assertTrue(host.sent.isEmpty());
@@ -133,15 +137,15 @@
     }
 
     @Test
-    void aQuickWorkerThatOthersFillIsPassedByForASlowerOneWithRoom() {
+    void aFastWorkerFilledByOthersLosesToASlowerFreeOne() {
         for (long seed = 0; seed < 8; seed++) {
-            assertTrue(sentToTheQuicker(seed, 4) >= 16, "with room, seed " + seed);
-            assertTrue(sentToTheQuicker(seed, 0) <= 4, "filled by others, seed " + seed);
+            assertTrue(sentToTheFasterWorker(seed, 4) >= 16, "with free slots, seed " + seed);
+            assertTrue(sentToTheFasterWorker(seed, 0) <= 4, "filled by others, seed " + seed);
         }
     }
 
     @Test
-    void aWorkerWhereTheLastJobWaitedIsPassedByUntilThatIsLongAgo() {
+    void aWorkerWhereAJobWaitedIsAvoidedForAWhile() {
         for (long seed = 0; seed < 8; seed++) {
             for (boolean longAgo : new boolean[] {false, true}) {
                 FakeHost host = new FakeHost(FakeHost.settings(1, List.of(), FakeHost.SAFE), seed).withWorkers(2);
@@ -173,20 +177,23 @@
         }
     }
 
-    /** Of 20 jobs, one at a time, after some to learn from; the slower worker has four free slots. */
-    private static long sentToTheQuicker(long seed, double freeAtQuicker) {
+    /**
+     * Sends 20 jobs one at a time, after 20 to learn from, and returns how many went to the faster worker. The
+     * slower one has four free slots.
+     */
+    private static long sentToTheFasterWorker(long seed, double freeSlotsAtFaster) {
         FakeHost host = new FakeHost(FakeHost.settings(1, List.of(), FakeHost.SAFE), seed).withWorkers(2);
-        long quicker = 0;
+        long toFaster = 0;
         host.request(0, 0);
         for (long id = 1; id <= 40; id++) {
-            // The first is offered beside another one, so that both workers become known.
+            // The first job arrives together with job 0, so that both workers are used and learned.
             host.request(id, 0);
             host.pass(FakeHost.PERIOD);
             host.started(id, 0);
-            boolean quick = host.lastSend(id).worker() == 1;
-            quicker += quick && id > 20 ? 1 : 0;
-            host.pass(quick ? 60_000 : 66_000);
-            host.module.ended(host.now, id, 0, Outcome.SERVED, true, quick ? freeAtQuicker : 4, 4);
+            boolean fast = host.lastSend(id).worker() == 1;
+            toFaster += fast && id > 20 ? 1 : 0;
+            host.pass(fast ? 60_000 : 66_000);
+            host.module.ended(host.now, id, 0, Outcome.SERVED, true, fast ? freeSlotsAtFaster : 4, 4);
             if (id == 1) {
                 host.started(0, 0);
                 host.pass(host.lastSend(0).worker() == 1 ? 60_000 : 66_000);
@@ -194,14 +201,14 @@
             }
             host.pass(300_000);
         }
-        return quicker;
+        return toFaster;
     }
 
     @Test
     void jobsGoToTheWorkerWithTheShortestLearnedRunTime() {
         for (long seed = 0; seed < 8; seed++) {
             FakeHost host = new FakeHost(FakeHost.settings(1, List.of(), FakeHost.SAFE), seed).withWorkers(2);
-            int quick = 0;
+            int fast = 0;
             host.request(100, 0);
             host.request(101, 0);
             host.pass(FakeHost.PERIOD);
@@ -235,15 +242,15 @@
                 host.pass(worker == 1 ? 40_000 : 160_000);
                 host.ended(i, 0, Outcome.SERVED);
                 host.pass(2_000_000);
-                quick += i >= 10 && worker == 1 ? 1 : 0;
+                fast += i >= 10 && worker == 1 ? 1 : 0;
             }
-            assertEquals(30, quick, "of 30, seed " + seed);
+            assertEquals(30, fast, "of 30, seed " + seed);
         }
     }
 
-    /** Danger: a worker that fails what it starts, and tells of the start, looks quick and idle. */
+    /** A worker that reports the start of a job and then fails it appears fast and idle. */
     @Test
-    void aWorkerThatFailsWhatItStartsDrawsFewJobs() {
+    void aWorkerThatFailsStartedJobsGetsFewJobs() {
         for (long seed = 0; seed < 8; seed++) {
             FakeHost host = new FakeHost(FakeHost.settings(1, List.of(), FakeHost.SAFE), seed).withWorkers(2);
             int failing = 0;
@@ -262,13 +269,13 @@
                 host.ended(i, (int) host.sends(i) - 1, Outcome.SERVED);
                 host.pass(60_000);
             }
-            assertTrue(failing <= 12, failing + " of 60 went to the one that fails, seed " + seed);
+            assertTrue(failing <= 12, failing + " of 60 went to the failing worker, seed " + seed);
         }
     }
 
-    /** Danger: dear and cold, it would be passed by for as long as others have quota. */
+    /** A cold worker with a high price would get no jobs as long as others have quota. */
     @Test
-    void aWorkerThatComesBackGetsTheNextSafeJob() {
+    void aReturningWorkerGetsTheNextSafeJob() {
         for (WorkerState away : List.of(WorkerState.DRAINING, WorkerState.GONE)) {
             FakeHost host = new FakeHost(FakeHost.SAFE).withWorkers(1);
             Worker far = new Worker(2, 0, 1, 0, WorkerState.READY, 0);
@@ -287,9 +294,9 @@
         }
     }
 
-    /** Danger: a crossing has a price, and own workers sell again a moment later. */
+    /** Sending to another zone has a price, and workers of the own zone have quota again one period later. */
     @Test
-    void aJobWaitsAPeriodForItsOwnZoneBeforeItCrosses() {
+    void aJobWaitsAPeriodForItsOwnZone() {
         FakeHost host = new FakeHost(FakeHost.SAFE).withWorkers(1);
         host.module.workers(host.now, ListKind.CHANGES, List.of(new Worker(2, 0, 1, 0, WorkerState.READY, 0)));
         host.request(1, 0);
@@ -299,14 +306,14 @@
         host.request(2, 0);
         host.request(3, 0);
         host.request(4, 0);
-        assertEquals(2, host.sent.size(), "the own worker has one job to sell a period");
+        assertEquals(2, host.sent.size(), "the worker of the own zone has quota for one job per period");
         host.pass(3 * FakeHost.PERIOD);
         assertEquals(4, host.sent.size());
         assertFalse(host.sent.stream().anyMatch(s -> s.worker() == 2 && s.at() < arrived + FakeHost.PERIOD));
     }
 
     @Test
-    void aFullAnswerBarsTheWorkerAndTheJobWaitsAPeriod() {
+    void aRejectionBlocksTheWorkerAndTheJobWaitsAPeriod() {
         FakeHost host = new FakeHost(FakeHost.SAFE).withWorkers(1);
         host.request(1, 0);
         host.pass(FakeHost.PERIOD);
@@ -336,12 +343,12 @@
             host.pass(400_000);
             host.request(9, 0);
             host.pass(100_000);
-            assertEquals(1, host.sends(9), "an old report is not believed for ever");
+            assertEquals(1, host.sends(9), "an old report expires");
         }
     }
 
     @Test
-    void aSilentWorkerGetsNoMoreJobsButTheRestDo() {
+    void aSilentWorkerGetsNoMoreJobs() {
         FakeHost host = new FakeHost(FakeHost.SAFE).withWorkers(2);
         Set<Long> lost = new HashSet<>();
         for (int i = 0; i < 60; i++) {
@@ -363,9 +370,9 @@
     }
 
     @Test
-    void aFastFailingWorkerDoesNotDrawTheJobs() {
+    void aFastFailingWorkerDoesNotAttractJobs() {
         FakeHost host = new FakeHost(FakeHost.UNSAFE).withWorkers(2);
-        int onBad = 0;
+        int toFailingWorker = 0;
         for (int i = 0; i < 100; i++) {
             host.request(i, 0);
             host.pass(60_000);
@@ -373,7 +380,7 @@
                 continue;
             }
             if (host.lastSend(i).worker() == 1) {
-                onBad++;
+                toFailingWorker++;
                 host.ended(i, 0, Outcome.ERROR);
             } else {
                 host.started(i, 0);
@@ -381,11 +388,11 @@
                 host.ended(i, 0, Outcome.SERVED);
             }
         }
-        assertTrue(onBad < 15, onBad + " of 100 went to the failing worker");
+        assertTrue(toFailingWorker < 15, toFailingWorker + " of 100 went to the failing worker");
     }
 
     @Test
-    void workGoesOnWhenEveryWorkerLooksSick() {
+    void jobsAreStillSentIfEveryWorkerIsSuspected() {
         FakeHost host = new FakeHost(FakeHost.SAFE).withWorkers(3);
         int failed = 0;
         for (int i = 0; i < 200; i++) {
@@ -393,7 +400,7 @@
             host.pass(60_000);
             failed += host.endAll(Outcome.CONNECT_FAILED);
         }
-        assertTrue(failed >= 6, failed + " tries");
+        assertTrue(failed >= 6, failed + " failed attempts");
         int served = 0;
         for (int i = 200; i < 400; i++) {
             host.request(i, 0);
@@ -403,9 +410,9 @@
         assertTrue(served > 100, "only " + served + " after recovery");
     }
 
-    /** Danger: half of all jobs crossed zones for a few percent of speed, and each crossing costs points. */
+    /** Half of all jobs once crossed zones for a few percent of speed, though each crossing lowers the objective. */
     @Test
-    void aJobCrossesZonesOnlyWhereTheOwnZoneHasNoQuotaOrIsBehind() {
+    void aJobLeavesItsZoneOnlyWithoutQuotaOrWithABacklog() {
         for (long seed = 0; seed < 8; seed++) {
             FakeHost host = new FakeHost(FakeHost.settings(1, List.of(), FakeHost.SAFE), seed);
             host.module.workers(
@@ -415,7 +422,7 @@
             for (long id = 1; id <= 4; id++) {
                 host.request(id, 0);
                 host.pass(2 * FakeHost.PERIOD);
-                assertEquals(1, host.lastSend(id).worker(), "it has room; seed " + seed);
+                assertEquals(1, host.lastSend(id).worker(), "the own zone has free slots; seed " + seed);
                 host.started(id, 0);
                 host.pass(150_000);
                 host.module.ended(host.now, id, 0, Outcome.SERVED, true, 4, 4);
@@ -423,17 +430,17 @@
             host.pass(500_000);
             long id = 5;
             while (host.sent.isEmpty() || host.sent.get(host.sent.size() - 1).worker() == 1) {
-                assertTrue(id < 20, "it never crosses; seed " + seed);
+                assertTrue(id < 20, "no job leaves the zone; seed " + seed);
                 host.request(id++, 0);
                 host.pass(2 * FakeHost.PERIOD);
             }
-            assertTrue(id > 7, "the own zone has room for more; seed " + seed);
+            assertTrue(id > 7, "jobs left a zone with free slots; seed " + seed);
         }
     }
 
-    /** Danger: notices come a little later than the quickest one ever did; that is no queue. */
+    /** Start notices vary in delay; one a little later than the fastest seen does not indicate a queue. */
     @Test
-    void aStartALittleLaterThanTheQuickestIsPrompt() {
+    void aStartSlightlyLaterThanTheFastestCountsAsImmediate() {
         for (int seed = 0; seed < 16; seed++) {
             boolean late = seed % 2 == 1;
             FakeHost host = new FakeHost(FakeHost.settings(1, List.of(), FakeHost.SAFE), seed).withWorkers(1);
@@ -454,7 +461,7 @@
     }
 
     @Test
-    void dispatchersBreakTiesEachInTheirOwnWay() {
+    void dispatchersBreakTiesDifferently() {
         Set<Long> first = new HashSet<>();
         for (int seed = 0; seed < 10; seed++) {
             FakeHost host = new FakeHost(FakeHost.settings(10, List.of(), FakeHost.SAFE), seed);
@@ -467,7 +474,7 @@
     }
 
     @Test
-    void eachOfManyDispatchersTradesWithAFewWorkers() {
+    void eachOfManyDispatchersUsesAFewWorkers() {
         FakeHost host = new FakeHost(FakeHost.settings(100, List.of(), FakeHost.SAFE), 2).withWorkers(100);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 100; i++) {
@@ -493,9 +500,10 @@
 
     @Test
     void dispatchersSendAKeyToTheSameFewWorkers() {
-        int spread = workersUsed(0);
-        int kept = workersUsed(77);
-        assertTrue(kept * 2 <= spread, "one key on " + kept + " workers, jobs without on " + spread);
+        int withoutKey = workersUsed(0);
+        int withKey = workersUsed(77);
+        assertTrue(
+                withKey * 2 <= withoutKey, "one key on " + withKey + " workers, jobs without a key on " + withoutKey);
     }
 
     private static int workersUsed(long key) {
@@ -516,11 +524,11 @@
     }
 
     @Test
-    void jobsOverATenantsShareGiveWayToThoseWithin() {
+    void jobsWithinATenantsShareComeBeforeThoseAbove() {
         FakeHost host = new FakeHost(FakeHost.settings(1, List.of(new Tenant(5), new Tenant(5)), FakeHost.SAFE), 3);
         host.withWorkers(1);
         int within = 0;
-        List<Long> out = new ArrayList<>();
+        List<Long> sent = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             for (int k = 0; k < 4; k++) {
                 host.module.request(host.now, 10L * i + k, 0, 0, 0, 5_000_000, 1, 0);
@@ -530,32 +538,32 @@
             }
             host.pass(50_000);
             for (FakeHost.Sent s : List.copyOf(host.sent)) {
-                if (!out.contains(s.request())) {
-                    out.add(s.request());
+                if (!sent.contains(s.request())) {
+                    sent.add(s.request());
                     host.started(s.request(), 0);
                     within += s.request() % 10 == 5 ? 1 : 0;
                 }
             }
             host.pass(50_000);
-            for (long id : out) {
+            for (long id : sent) {
                 host.ended(id, 0, Outcome.SERVED);
             }
         }
-        assertTrue(within >= 20, "the modest tenant got " + within + " of 40 served");
+        assertTrue(within >= 20, "the tenant within its share got " + within + " of 40 served");
     }
 
     @Test
-    void aLateJobWorthNothingIsRefusedEarly() {
+    void aJobWithoutValueWhenLateIsRefusedEarly() {
         FakeHost host = new FakeHost(FakeHost.SAFE);
         host.request(1, 0);
         host.pass(190_000);
-        assertTrue(host.refused.isEmpty(), "started now it would be in time");
+        assertTrue(host.refused.isEmpty(), "it can still finish in time");
         host.pass(50_000);
         assertEquals(List.of(1L), host.refused);
     }
 
     @Test
-    void aLateJobStillWorthSomethingIsHeld() {
+    void aJobWithValueWhenLateIsHeld() {
         FakeHost host = new FakeHost(FakeHost.jobClass(Effect.SAFE, Group.ALL, 1, 0.5));
         host.request(1, 0);
         host.pass(2_000_000);
@@ -566,7 +574,7 @@
     }
 
     @Test
-    void aFailedListIsAskedForAgainLaterAndLaterWithinASecond() {
+    void failedListCallsBackOffUpToASecond() {
         FakeHost host = new FakeHost(FakeHost.SAFE);
         assertEquals(1, host.watches, "subscribed at the start");
         long last = 0;
@@ -576,16 +584,16 @@
             int before = host.watches;
             while (host.watches == before) {
                 host.pass(50_000);
-                assertTrue(host.now - from <= 1_100_000, "what is told meanwhile is known too late");
+                assertTrue(host.now - from <= 1_100_000, "list changes would be noticed too late");
             }
             last = host.now - from;
         }
         assertTrue(last >= 500_000, "the eighth call came after " + last);
     }
 
-    /** Danger: shares would shrink wherever connections are often opened anew, and jobs be refused. */
+    /** If connection set-up counted as queueing, quotas would shrink and jobs be refused where it is frequent. */
     @Test
-    void aStartOnAConnectionThatWasOpenedForItIsNotTakenForAQueue() {
+    void connectionSetUpIsNotTakenForAQueue() {
         int[] answered = new int[2];
         for (int opening = 0; opening < 2; opening++) {
             FakeHost host = new FakeHost(FakeHost.SAFE).withWorkers(1);
@@ -612,11 +620,11 @@
         }
         assertTrue(
                 answered[1] > answered[0],
-                answered[1] + " answered with word of the opening, " + answered[0] + " without");
+                answered[1] + " answered with connection opening reported, " + answered[0] + " without");
     }
 
     @Test
-    void aFailedListLeavesTheOldOne() {
+    void aFailedListKeepsThePreviousOne() {
         FakeHost host = new FakeHost(FakeHost.SAFE).withWorkers(1);
         host.module.workers(host.now, ListKind.FAILED, List.of());
         host.request(1, 0);
@@ -625,7 +633,7 @@
     }
 
     @Test
-    void aRestartedWorkerIsANewSeller() {
+    void aRestartedWorkerStartsWithoutHistory() {
         FakeHost host = new FakeHost(FakeHost.SAFE).withWorkers(1);
         host.request(1, 0);
         host.pass(60_000);
@@ -633,7 +641,7 @@
                 host.now, ListKind.CHANGES, List.of(new Worker(1, 0, 0, 0, WorkerState.READY, host.now - 20_000_000)));
         host.request(2, 0);
         host.pass(60_000);
-        assertEquals(1, host.sends(2), "the old process's silence does not bar the new one");
+        assertEquals(1, host.sends(2), "the silence of the old process does not block the new one");
         host.ended(1, 0, Outcome.RESET);
         host.started(2, 0);
         host.ended(2, 0, Outcome.SERVED);
@@ -641,7 +649,7 @@
     }
 
     @Test
-    void theSameEventsLeadToTheSameActions() {
+    void theSameSeedAndEventsLeadToTheSameActions() {
         List<List<String>> runs = new ArrayList<>();
         for (long seed : new long[] {5, 5, 6}) {
             FakeHost host = new FakeHost(FakeHost.settings(2, List.of(), FakeHost.SAFE), seed);
--- a/src/test/java/barrowflow/RandomEventsTest.java
+++ b/src/test/java/barrowflow/RandomEventsTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Fixed-seed random events; every action is checked against the rules from the outside. */
+/** Sends random events with fixed seeds and checks every action of the dispatcher against its documented rules. */
 class RandomEventsTest {
     private static final Dispatcher.JobClass[] CLASSES = {
         FakeHost.jobClass(Effect.SAFE, Group.ALL, 5, 0.3),
@@ -32,33 +32,33 @@
         new Dispatcher.JobClass(300_000, 2, 2_000_000, 2, 0, Effect.SAFE, Group.ALL, 0, 1),
     };
 
-    private static final class Try {
+    private static final class Attempt {
         final long worker;
         final long at;
         Outcome ended;
 
-        Try(long worker, long at) {
+        Attempt(long worker, long at) {
             this.worker = worker;
             this.at = at;
         }
     }
 
-    private static final class Asked {
+    private static final class Request {
         int jobClass;
         long deadline;
         String answer;
-        final List<Try> tries = new ArrayList<>();
+        final List<Attempt> attempts = new ArrayList<>();
     }
 
-    private final TreeMap<Long, Asked> asked = new TreeMap<>();
-    private final Map<Long, Worker> named = new HashMap<>();
-    private final Map<Long, WorkerState> told = new HashMap<>();
+    private final TreeMap<Long, Request> requests = new TreeMap<>();
+    private final Map<Long, Worker> listed = new HashMap<>();
+    private final Map<Long, WorkerState> states = new HashMap<>();
     private FakeHost host;
-    private int seen;
+    private int checkedActions;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void everyRuleIsKept(long seed) {
+    void actionsFollowTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         host = new FakeHost(
                 FakeHost.settings(1 + (int) (seed % 4), List.of(new Tenant(20), new Tenant(5), new Tenant(5)), CLASSES),
@@ -67,32 +67,34 @@
         for (int step = 0; step < 6_000; step++) {
             host.pass(random.nextLong(12_000));
             check();
-            overdue();
+            expireAttempts();
             switch (random.nextInt(12)) {
                 case 0, 1, 2 -> arrive(random, step);
                 case 3 -> list(random, random.nextInt(4) == 0 ? ListKind.WHOLE : ListKind.CHANGES);
                 case 4 -> host.module.workers(host.now, ListKind.FAILED, List.of());
                 case 5 -> withdraw(random.nextInt(step + 1));
-                default -> word(random);
+                default -> attemptEvent(random);
             }
             check();
         }
         for (int i = 0; i < 1_000; i++) {
             host.pass(10_000);
             check();
-            overdue();
+            expireAttempts();
         }
-        asked.values().forEach(a -> assertNotNull(a.answer));
-        assertTrue(
-                asked.values().stream().filter(a -> a.answer.equals("served")).count() > 100);
+        requests.values().forEach(a -> assertNotNull(a.answer));
+        assertTrue(requests.values().stream()
+                        .filter(a -> a.answer.equals("served"))
+                        .count()
+                > 100);
     }
 
     private void arrive(SplittableRandom random, long id) {
-        Asked a = new Asked();
+        Request a = new Request();
         a.jobClass = random.nextInt(CLASSES.length);
         long left = random.nextInt(20) == 0 ? 0 : CLASSES[a.jobClass].deadline() - random.nextLong(1_500_000);
         a.deadline = host.now + left;
-        asked.put(id, a);
+        requests.put(id, a);
         host.module.request(
                 host.now,
                 id,
@@ -106,7 +108,7 @@
 
     private void withdraw(long id) {
         host.module.withdrawn(host.now, id);
-        Asked a = asked.get(id);
+        Request a = requests.get(id);
         if (a != null && a.answer == null) {
             a.answer = "withdrawn";
         }
@@ -120,7 +122,7 @@
             }
             int state = random.nextInt(8);
             if (kind != ListKind.CHANGES && state == 0) {
-                told.put(id, WorkerState.GONE);
+                states.put(id, WorkerState.GONE);
                 continue;
             }
             WorkerState as = state < 6 ? WorkerState.READY : state == 6 ? WorkerState.DRAINING : WorkerState.GONE;
@@ -132,23 +134,23 @@
                     as,
                     random.nextInt(3) == 0 ? host.now - random.nextLong(20_000_000) : 0);
             entries.add(w);
-            named.put(id, w);
-            told.put(id, as);
+            listed.put(id, w);
+            states.put(id, as);
         }
         host.module.workers(host.now, kind, entries);
     }
 
-    /** Word of some attempt: that it started, how it ended, or a repeat of old news. */
-    private void word(SplittableRandom random) {
-        if (asked.isEmpty()) {
+    /** Sends an event of some attempt: its start, its end, or a repetition of an earlier event. */
+    private void attemptEvent(SplittableRandom random) {
+        if (requests.isEmpty()) {
             return;
         }
-        Long id = asked.floorKey(Math.max(asked.firstKey(), asked.lastKey() - random.nextInt(60)));
-        Asked a = asked.get(id);
-        if (a.tries.isEmpty()) {
+        Long id = requests.floorKey(Math.max(requests.firstKey(), requests.lastKey() - random.nextInt(60)));
+        Request a = requests.get(id);
+        if (a.attempts.isEmpty()) {
             return;
         }
-        int n = random.nextInt(a.tries.size());
+        int n = random.nextInt(a.attempts.size());
         if (random.nextInt(3) == 0) {
             host.started(id, n);
             return;
@@ -158,8 +160,8 @@
         end(id, a, n, how, random);
     }
 
-    private void end(long id, Asked a, int n, Outcome how, SplittableRandom random) {
-        Try t = a.tries.get(n);
+    private void end(long id, Request a, int n, Outcome how, SplittableRandom random) {
+        Attempt t = a.attempts.get(n);
         if (t.ended == null) {
             t.ended = how;
             if (how == Outcome.SERVED && a.answer == null) {
@@ -170,12 +172,12 @@
         host.module.ended(host.now, id, n, how, a.answer != null, free, free);
     }
 
-    /** At its deadline every attempt of a job times out; an answer is due with that. */
-    private void overdue() {
-        asked.forEach((id, a) -> {
+    /** Times out the attempts of every job whose deadline has passed; the job must then have an answer. */
+    private void expireAttempts() {
+        requests.forEach((id, a) -> {
             if (a.deadline <= host.now && a.answer == null) {
-                for (int n = 0; n < a.tries.size(); n++) {
-                    if (a.tries.get(n).ended == null) {
+                for (int n = 0; n < a.attempts.size(); n++) {
+                    if (a.attempts.get(n).ended == null) {
                         end(id, a, n, Outcome.TIMEOUT, null);
                     }
                 }
@@ -186,59 +188,60 @@
     }
 
     private void check() {
-        for (; seen < host.all.size(); seen++) {
-            String[] f = host.all.get(seen).split(" ");
+        for (; checkedActions < host.all.size(); checkedActions++) {
+            String[] f = host.all.get(checkedActions).split(" ");
             if (f[1].equals("watch")) {
                 continue;
             }
-            Asked a = asked.get(Long.parseLong(f[2]));
+            Request a = requests.get(Long.parseLong(f[2]));
             long at = Long.parseLong(f[0]);
             switch (f[1]) {
                 case "send" -> sent(a, Long.parseLong(f[3]), at);
                 case "refuse" -> {
-                    assertTrue(mayRefuse(a), "an unlawful refusal of " + f[2]);
+                    assertTrue(refusalAllowed(a), "refusal not allowed for request " + f[2]);
                     answered(a, f[1]);
                 }
                 case "fail" -> answered(a, f[1]);
-                default -> assertTrue(Integer.parseInt(f[3]) < a.tries.size(), "cancels what was sent");
+                default ->
+                    assertTrue(Integer.parseInt(f[3]) < a.attempts.size(), "cancel of an attempt that was not sent");
             }
         }
     }
 
-    private static void answered(Asked a, String answer) {
-        assertEquals(null, a.answer, "one answer only");
+    private static void answered(Request a, String answer) {
+        assertEquals(null, a.answer, "more than one answer");
         a.answer = answer;
     }
 
-    private boolean mayRefuse(Asked a) {
+    private boolean refusalAllowed(Request a) {
         Dispatcher.JobClass of = CLASSES[a.jobClass];
         return of.effect() == Effect.SAFE
                 || of.effect() == Effect.KEYED && of.group() == Group.ALL
-                || a.tries.stream().allMatch(t -> t.ended != null && t.ended.neverRan);
+                || a.attempts.stream().allMatch(t -> t.ended != null && t.ended.neverRan);
     }
 
-    private void sent(Asked a, long worker, long at) {
+    private void sent(Request a, long worker, long at) {
         Dispatcher.JobClass of = CLASSES[a.jobClass];
-        assertEquals(null, a.answer, "nothing is sent after the answer");
-        assertTrue(a.tries.size() < 4, "attempts");
-        assertTrue(at < a.deadline, "within the client's time");
-        assertEquals(WorkerState.READY, told.get(worker), "only to ready workers");
-        Worker to = named.get(worker);
-        assertTrue(of.machineKind() < 0 || of.machineKind() == to.kind(), "of the kind that runs it");
-        for (Try t : a.tries) {
+        assertEquals(null, a.answer, "sent after the answer");
+        assertTrue(a.attempts.size() < 4, "more than 4 attempts");
+        assertTrue(at < a.deadline, "sent after the deadline");
+        assertEquals(WorkerState.READY, states.get(worker), "sent to a worker that is not ready");
+        Worker to = listed.get(worker);
+        assertTrue(of.machineKind() < 0 || of.machineKind() == to.kind(), "sent to a worker of the wrong kind");
+        for (Attempt t : a.attempts) {
             if (t.ended != null && t.ended.neverRan) {
                 continue;
             }
-            assertFalse(of.effect() == Effect.UNSAFE, "an unsafe job that may have run");
+            assertFalse(of.effect() == Effect.UNSAFE, "unsafe job sent again though it may have run");
             if (of.effect() == Effect.KEYED) {
-                Worker first = named.get(t.worker);
-                assertTrue(at < t.at + of.dedupWindow(), "within the window");
+                Worker first = listed.get(t.worker);
+                assertTrue(at < t.at + of.dedupWindow(), "sent after the deduplication window");
                 assertTrue(
                         of.group() == Group.ALL
                                 || first.zone() == to.zone() && (of.group() == Group.ZONE || first.cell() == to.cell()),
-                        "within the group");
+                        "sent outside the deduplication group");
             }
         }
-        a.tries.add(new Try(worker, at));
+        a.attempts.add(new Attempt(worker, at));
     }
 }
--- a/src/test/java/barrowflow/RulesTest.java
+++ b/src/test/java/barrowflow/RulesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The four rules, and what each outcome leads to. */
+/** Tests the rules for refusing, repeating and placing jobs, and the effect of each attempt outcome. */
 class RulesTest {
 
     @Test
@@ -28,10 +28,10 @@
         assertTrue(host.sent.isEmpty());
     }
 
-    /** A job may be stricter than its class, never laxer. */
+    /** The effect stated by a job applies only if it is stricter than that of its class. */
     @ParameterizedTest
     @EnumSource(Effect.class)
-    void aJobsOwnEffectBindsItIfItIsTheStricter(Effect own) {
+    void theStricterOfJobAndClassEffectApplies(Effect own) {
         for (var jobClass : List.of(FakeHost.SAFE, FakeHost.UNSAFE)) {
             FakeHost host = new FakeHost(jobClass).withWorkers(3);
             host.module.request(host.now, 1, 0, 0, 0, 5_000_000, 1, 0, own);
@@ -53,8 +53,8 @@
 
     @Test
     void aClassThatNoWorkerCanRunIsRefused() {
-        var bound = new Dispatcher.JobClass(200_000, 2, 5_000_000, 1, 0.5, Effect.SAFE, Group.ALL, 0, 3);
-        FakeHost host = new FakeHost(bound).withWorkers(2);
+        var unsupported = new Dispatcher.JobClass(200_000, 2, 5_000_000, 1, 0.5, Effect.SAFE, Group.ALL, 0, 3);
+        FakeHost host = new FakeHost(unsupported).withWorkers(2);
         host.request(1, 0);
         host.pass(5_000_000);
         assertEquals(List.of(1L), host.refused);
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void anUnsafeJobThatWaitsInSilenceIsNeitherCopiedNorRefused() {
+    void anUnsafeJobWithoutResponseIsNeitherCopiedNorRefused() {
         FakeHost host = new FakeHost(FakeHost.UNSAFE).withWorkers(3);
         host.request(1, 0);
         host.pass(4_999_000);
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void aDrainingWorkerGetsNothingNew() {
+    void aDrainingWorkerGetsNoNewJobs() {
         FakeHost host = new FakeHost(FakeHost.SAFE).withWorkers(2);
         host.module.workers(host.now, ListKind.CHANGES, List.of(new Worker(1, 0, 0, 0, WorkerState.DRAINING, 0)));
         for (int i = 0; i < 40; i++) {
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void aWorkerMissingFromAWholeListGetsNothingNew() {
+    void aWorkerMissingFromAFullListGetsNoNewJobs() {
         FakeHost host = new FakeHost(FakeHost.SAFE).withWorkers(3);
         host.module.workers(host.now, ListKind.CACHED, List.of(FakeHost.worker(3)));
         for (int i = 0; i < 20; i++) {
@@ -188,9 +188,9 @@
         assertTrue(host.sent.stream().allMatch(s -> s.worker() == 3));
     }
 
-    /** 24 dispatchers with steady demand, one cold worker: what all send stays under its limit. */
+    /** 24 dispatchers with steady demand share one cold worker; their jobs together stay below its limit. */
     @Test
-    void manyDispatchersDoNotPushOverAColdWorker() {
+    void manyDispatchersDoNotOverloadAColdWorker() {
         int dispatchers = 24;
         double run = 300_000;
         double slots = 4;
@@ -218,7 +218,7 @@
                 times[n++] = s.at() - start;
             }
         }
-        assertTrue(n > 10, "a cold worker is used, too: " + n);
+        assertTrue(n > 10, "jobs sent to the cold worker: " + n);
         for (int i = 0; i < n; i++) {
             int inWindow = 0;
             for (int j = 0; j < n; j++) {
@@ -230,7 +230,7 @@
     }
 
     @Test
-    void eventsOnWhatIsNoLongerHeldAreIgnored() {
+    void eventsForFinishedOrUnknownRequestsAreIgnored() {
         FakeHost host = new FakeHost(FakeHost.SAFE).withWorkers(1);
         host.request(1, 0);
         host.pass(60_000);
@@ -249,7 +249,7 @@
     }
 
     @Test
-    void aWithdrawnJobIsCalledOffAndNeverAnswered() {
+    void aWithdrawnJobIsCancelledAndNeverAnswered() {
         FakeHost host = new FakeHost(FakeHost.SAFE).withWorkers(1);
         host.request(1, 0);
         host.pass(60_000);
@@ -274,7 +274,7 @@
     }
 
     @Test
-    void aHostThatBreaksTheOrderIsTold() {
+    void invalidEventsOfTheHostAreRejected() {
         FakeHost host = new FakeHost(FakeHost.SAFE).withWorkers(1);
         host.request(1, 0);
         assertThrows(IllegalArgumentException.class, () -> host.request(1, 0));
@@ -283,7 +283,7 @@
     }
 
     @Test
-    void invalidSettingsAreNamed() {
+    void invalidSettingsAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> FakeHost.settings(0, List.of(), FakeHost.SAFE));
         assertThrows(IllegalArgumentException.class, () -> FakeHost.settings(1, List.of()));
         assertThrows(
@@ -292,7 +292,7 @@
     }
 
     @Test
-    void aHundredDispatchersStillUseTheOnlyWorkerThereIs() {
+    void aHundredDispatchersUseASingleWorker() {
         for (long seed = 0; seed < 5; seed++) {
             FakeHost host = new FakeHost(FakeHost.settings(100, List.of(), FakeHost.SAFE), seed);
             host.withWorkers(1);
@@ -302,9 +302,9 @@
         }
     }
 
-    /** Danger: a cold worker that sells only the dearest good stands idle while cheap jobs are refused. */
+    /** A cold worker that accepts only the most valuable class would be idle while cheaper jobs are refused. */
     @Test
-    void aColdWorkerSellsMoreThanTheDearestGood() {
+    void aColdWorkerAlsoServesCheaperClasses() {
         FakeHost host = new FakeHost(FakeHost.jobClass(Effect.SAFE, Group.ALL, 12, 0), FakeHost.SAFE);
         host.withWorkers(1);
         host.request(1, 0);
--- a/src/test/java/barrowflow/SharesTest.java
+++ b/src/test/java/barrowflow/SharesTest.java
@@ -10,27 +10,28 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Tenants' shares over several dispatchers, between which a plain front spreads clients unevenly. */
+/** Tests tenants' shares over several dispatchers among which a load balancer spreads clients unevenly. */
 class SharesTest {
-    private static final long PERIOD = 50_000;
-    private static final int RATE = 20;
+    private static final long PERIOD_MICROS = 50_000;
+    private static final int JOBS_PER_SECOND = 20;
 
-    /** One tenant's jobs for ten seconds; gives how many of them were within its share at each node. */
-    private static int[] within(double[] perSecond, boolean told) {
+    /** Sends one tenant's jobs for ten seconds; returns how many were within its share at each node. */
+    private static int[] within(double[] perSecond, boolean exchange) {
         int nodes = perSecond.length;
         List<TenantShares> shares = IntStream.range(0, nodes)
-                .mapToObj(n -> new TenantShares(List.of(new Tenant(RATE), new Tenant(RATE)), nodes))
+                .mapToObj(
+                        n -> new TenantShares(List.of(new Tenant(JOBS_PER_SECOND), new Tenant(JOBS_PER_SECOND)), nodes))
                 .toList();
         List<Gossip> gossip =
                 IntStream.range(0, nodes).mapToObj(n -> new Gossip(nodes, 0, n)).toList();
         int[] within = new int[nodes];
-        double[] due = new double[nodes];
-        for (long now = 0; now < 10_000_000; now += PERIOD) {
+        double[] pending = new double[nodes];
+        for (long now = 0; now < 10_000_000; now += PERIOD_MICROS) {
             for (int n = 0; n < nodes; n++) {
-                for (due[n] += perSecond[n] * PERIOD / 1e6; due[n] >= 1; due[n]--) {
+                for (pending[n] += perSecond[n] * PERIOD_MICROS / 1e6; pending[n] >= 1; pending[n]--) {
                     within[n] += shares.get(n).tryAcquire(0, true) ? 1 : 0;
                 }
-                if (told) {
+                if (exchange) {
                     byte[] message = gossip.get(n)
                             .nextMessage(
                                     new long[0], new double[0], shares.get(n).jobsPerSecondByTenant());
@@ -40,48 +41,50 @@
                         }
                     }
                 }
-                shares.get(n).refill(PERIOD, told ? gossip.get(n) : null);
+                shares.get(n).refill(PERIOD_MICROS, exchange ? gossip.get(n) : null);
             }
         }
         return within;
     }
 
     @Test
-    void aTenantInsideItsShareIsAllInsideWhicheverNodeItComesTo() {
+    void aTenantBelowItsShareIsWithinItOnEveryNode() {
         int[] within = within(new double[] {14, 3, 1}, true);
         assertTrue(
                 within[0] >= 126 && within[1] >= 28 && within[2] >= 9,
                 List.of(within[0], within[1], within[2]) + " of 140, 30 and 10");
-        assertTrue(within(new double[] {14, 3, 1}, false)[0] < 110, "untold, parts are even");
+        assertTrue(within(new double[] {14, 3, 1}, false)[0] < 110, "without messages each node grants an equal part");
     }
 
     @Test
-    void oneThatSendsManyTimesItsShareHasNoMoreThanThatInsideHoweverItIsSpread() {
+    void aTenantAboveItsShareGetsNoMoreThanItForAnySpread() {
         for (double[] spread : List.of(new double[] {80, 20, 10}, new double[] {30, 30, 30})) {
             int[] within = within(spread, true);
             int all = within[0] + within[1] + within[2];
-            assertTrue(all >= 0.9 * 10 * RATE && all <= 1.3 * 10 * RATE + 9, all + " of " + 10 * RATE);
+            assertTrue(
+                    all >= 0.9 * 10 * JOBS_PER_SECOND && all <= 1.3 * 10 * JOBS_PER_SECOND + 9,
+                    all + " of " + 10 * JOBS_PER_SECOND);
         }
     }
 
-    /** Danger: a process that takes another's place hears of others' traffic before it has seen its own. */
+    /** A replacement process receives the traffic of other nodes before it has traffic of its own to compare. */
     @Test
-    void oneThatHasJustBegunCountsItsPartAsEven() {
+    void aNodeThatHasJustStartedGrantsAnEqualPart() {
         Gossip others = new Gossip(2, 0, 1);
         others.receive(0, 1, new Gossip(2, 0, 2).nextMessage(new long[0], new double[0], new double[] {10}));
-        TenantShares shares = new TenantShares(List.of(new Tenant(RATE)), 2);
+        TenantShares shares = new TenantShares(List.of(new Tenant(JOBS_PER_SECOND)), 2);
         int within = 0;
         for (int i = 0; i < 10; i++) {
             within += shares.tryAcquire(0, true) ? 1 : 0;
-            shares.refill(2 * PERIOD, others);
+            shares.refill(2 * PERIOD_MICROS, others);
         }
         assertTrue(within >= 9, within + " of the 10 jobs of its first second are within half the share");
     }
 
-    /** Danger: turned away and come again, a tenant's jobs would use up its share once more. */
+    /** A job that is refused and sent again must not use the tenant's share twice. */
     @Test
-    void aRepeatUsesUpNothing() {
-        TenantShares shares = new TenantShares(List.of(new Tenant(RATE)), 1);
+    void aRepeatedJobUsesNoShare() {
+        TenantShares shares = new TenantShares(List.of(new Tenant(JOBS_PER_SECOND)), 1);
         for (int i = 0; i < 100; i++) {
             assertTrue(shares.tryAcquire(0, false));
         }
@@ -90,11 +93,11 @@
     }
 
     @Test
-    void whoeverTheSettingsDoNotNameHasNoShareWhereOthersHaveOne() {
-        TenantShares shares = new TenantShares(List.of(new Tenant(RATE)), 1);
+    void aTenantThatIsNotConfiguredHasNoShareIfOthersHaveOne() {
+        TenantShares shares = new TenantShares(List.of(new Tenant(JOBS_PER_SECOND)), 1);
         assertFalse(shares.tryAcquire(-1, true));
         assertFalse(shares.tryAcquire(1, true));
-        assertTrue(new TenantShares(List.of(), 1).tryAcquire(-1, true), "there are no shares at all");
-        assertTrue(new TenantShares(List.of(new Tenant(0)), 1).tryAcquire(0, true), "it has no limit");
+        assertTrue(new TenantShares(List.of(), 1).tryAcquire(-1, true), "no shares are configured");
+        assertTrue(new TenantShares(List.of(new Tenant(0)), 1).tryAcquire(0, true), "the tenant has no quota");
     }
 }
--- a/src/test/java/barrowflow/adapter/AdapterTest.java
+++ b/src/test/java/barrowflow/adapter/AdapterTest.java
@@ -120,7 +120,7 @@
     }
 
     /**
-     * Peer messages, probe responses and run time hints reach the dispatcher; its own peer messages and probes
+     * Peer messages, probe responses and work hints reach the dispatcher; its own peer messages and probes
      * are written to the reply.
      */
     @Test
