--- a/src/test/java/barrowflow/ColdRampTest.java
+++ b/src/test/java/barrowflow/ColdRampTest.java
@@ -51,12 +51,12 @@
             long deadline,
             double worth,
             Effect effect,
-            double part) {}
+            double jobFraction) {}
 
     private record Workload(
             String name, Cold cold, int slots, double speed, int attempts, boolean copies, List<Work> works) {
         double meanWork() {
-            return works.stream().mapToDouble(w -> w.mean * w.part).sum();
+            return works.stream().mapToDouble(w -> w.mean * w.jobFraction).sum();
         }
 
         Settings settings(int dispatchers, boolean peerMessages) {
@@ -148,9 +148,9 @@
             long historyMicros,
             boolean expensiveOnly) {
         /** Fraction of the jobs in the burst that belong to the class. */
-        double part(Work work) {
+        double jobFraction(Work work) {
             double most = workload.works.stream().mapToDouble(w -> w.mean).max().orElseThrow();
-            return !expensiveOnly ? work.part : work.mean == most ? 1 : 0;
+            return !expensiveOnly ? work.jobFraction : work.mean == most ? 1 : 0;
         }
     }
 
@@ -167,7 +167,7 @@
             fleet.addMachine(worker(id, WorkerState.READY, 0), workload.slots, workload.speed);
         }
         fleet.addNodes(setup.dispatchers, settings);
-        traffic(fleet, setup);
+        scheduleTraffic(fleet, setup);
         long first = setup.returning ? 1 : WARM + 1;
         long start = fleet.now + setup.historyMicros;
         for (long id = first; id < first + COLD; id++) {
@@ -193,17 +193,23 @@
         return worst;
     }
 
-    private static void traffic(FleetSimulation fleet, RunSetup setup) {
+    private static void scheduleTraffic(FleetSimulation fleet, RunSetup setup) {
         Workload workload = setup.workload;
         double capacity = WARM * workload.slots * workload.speed * 1e6;
-        double burst =
-                workload.works.stream().mapToDouble(w -> w.mean * setup.part(w)).sum();
+        double burst = workload.works.stream()
+                .mapToDouble(w -> w.mean * setup.jobFraction(w))
+                .sum();
         for (int c = 0; c < workload.works.size(); c++) {
             Work w = workload.works.get(c);
             fleet.lognormalTraffic(
-                    c, capacity / workload.meanWork() * BASE_LOAD * w.part, w.mean, w.cv, 0, setup.historyMicros);
-            if (setup.part(w) > 0) {
-                double perSecond = capacity / burst * BURST_LOAD * setup.part(w);
+                    c,
+                    capacity / workload.meanWork() * BASE_LOAD * w.jobFraction,
+                    w.mean,
+                    w.cv,
+                    0,
+                    setup.historyMicros);
+            if (setup.jobFraction(w) > 0) {
+                double perSecond = capacity / burst * BURST_LOAD * setup.jobFraction(w);
                 fleet.lognormalTraffic(c, perSecond, w.mean, w.cv, setup.historyMicros, BURST_MICROS);
             }
         }
@@ -218,7 +224,7 @@
                 // The mean of the class: no dispatcher can know how far a job deviates from it.
                 work += workload.works.get((int) m.arrivals.get(i)[2]).mean;
             }
-            double capacity = FleetSimulation.warmth(m.worker, end, settings) * m.slots * m.speed;
+            double capacity = FleetSimulation.capacityFraction(m.worker, end, settings) * m.slots * m.speed;
             double n = workload.cold.overloadFactor() * capacity * workload.cold.overloadWindow() / workload.meanWork();
             double allowed = n + 2 * Math.sqrt(n) + 2;
             double reached = work / workload.meanWork();
--- a/src/test/java/barrowflow/FleetSimulation.java
+++ b/src/test/java/barrowflow/FleetSimulation.java
@@ -100,7 +100,7 @@
                 m.arrivals.add(new long[] {now, execution.work, classes.getOrDefault(request, 0)});
                 if (!execution.stopped) {
                     m.queue.add(execution);
-                    begin(m);
+                    startQueued(m);
                 }
             });
         }
@@ -214,7 +214,7 @@
      * Schedules jobs of a class at random nodes, with that total rate and that mean work; the work is uniform
      * between half and one and a half times the mean.
      */
-    void traffic(int jobClass, double perSecond, long work, long span) {
+    void uniformTraffic(int jobClass, double perSecond, long work, long span) {
         double meanGap = 1e6 / perSecond;
         for (double t = meanGap * random.nextDouble(); t < span; t += -meanGap * Math.log(1 - random.nextDouble())) {
             Node node = nodes.get(random.nextInt(nodes.size()));
@@ -256,7 +256,7 @@
             schedule(now + t, () -> m.hanging = true);
             schedule(now + t + duration, () -> {
                 m.hanging = false;
-                begin(m);
+                startQueued(m);
             });
         }
     }
@@ -272,7 +272,7 @@
     }
 
     /** Fraction of its capacity that a worker has now, as it warms up. */
-    static double warmth(Worker worker, long now, Settings settings) {
+    static double capacityFraction(Worker worker, long now, Settings settings) {
         long since = worker.startedAt();
         double from = settings.coldStart().initialFraction();
         return since == 0 || now - since >= settings.coldStart().warmUp()
@@ -285,17 +285,18 @@
         if (execution.startedAt > 0 && execution.at.running > 0) {
             execution.at.running--;
             wastedMicros += now - execution.startedAt;
-            begin(execution.at);
+            startQueued(execution.at);
         }
         execution.at.queue.remove(execution);
     }
 
-    private void begin(Machine m) {
+    /** Starts queued attempts while the worker has free slots. */
+    private void startQueued(Machine m) {
         while (!m.hanging && m.running < m.slots && !m.queue.isEmpty()) {
             Execution execution = m.queue.poll();
             m.running++;
             execution.startedAt = now;
-            double cores = m.slots * warmth(m.worker, now, settings);
+            double cores = m.slots * capacityFraction(m.worker, now, settings);
             long runMicros = (long) (execution.work / m.speed / Math.min(1, cores / m.running));
             schedule(
                     now + NETWORK_DELAY_MICROS,
@@ -311,7 +312,7 @@
                 m.served++;
                 wastedMicros += execution.cancelled ? runMicros : 0;
                 double free = m.slots - m.running;
-                begin(m);
+                startQueued(m);
                 schedule(
                         now + NETWORK_DELAY_MICROS,
                         () -> unlessCancelled(execution, () -> {
--- a/src/test/java/barrowflow/FleetTest.java
+++ b/src/test/java/barrowflow/FleetTest.java
@@ -35,7 +35,7 @@
                 fleet.addMachine(FakeHost.worker(id), 4, id % 2 == 0 ? 1 : 0.8);
             }
             fleet.addNodes(NODES, settings());
-            fleet.traffic(0, 0.6 * 60 * 4 * 0.9 / (MEAN_WORK_MICROS / 1e6), MEAN_WORK_MICROS, 12_000_000);
+            fleet.uniformTraffic(0, 0.6 * 60 * 4 * 0.9 / (MEAN_WORK_MICROS / 1e6), MEAN_WORK_MICROS, 12_000_000);
             fleet.run(14_000_000);
             assertTrue(
                     fleet.inTime > MIN_IN_TIME * fleet.offered,
@@ -56,7 +56,7 @@
                 fleet.addMachine(new Worker(id, 0, 0, 0, WorkerState.READY, id <= 24 ? 0 : fleet.now), 4, 1);
             }
             fleet.addNodes(NODES, settings);
-            fleet.traffic(0, 90 / (MEAN_WORK_MICROS / 1e6), MEAN_WORK_MICROS, 8_000_000);
+            fleet.uniformTraffic(0, 90 / (MEAN_WORK_MICROS / 1e6), MEAN_WORK_MICROS, 8_000_000);
             long start = fleet.now;
             fleet.run(8_000_000);
             double capacity = 0;
@@ -66,8 +66,8 @@
                     sent += m.arrivals.stream().mapToDouble(a -> a[1]).sum();
                     capacity += 4
                             * 8e6
-                            * (FleetSimulation.warmth(m.worker, start, settings)
-                                    + FleetSimulation.warmth(m.worker, fleet.now, settings))
+                            * (FleetSimulation.capacityFraction(m.worker, start, settings)
+                                    + FleetSimulation.capacityFraction(m.worker, fleet.now, settings))
                             / 2;
                     assertNeverOverloaded(m, settings);
                 }
@@ -116,7 +116,7 @@
                     fleet.addMachine(new Worker(id, 0, 0, 0, WorkerState.READY, start), 5, id % 2 == 0 ? 1 : 0.7);
                 }
                 fleet.addNodes(3, settings);
-                fleet.traffic(0, 1.2 * 8 * 5 * 0.85, 1_000_000, 20_000_000);
+                fleet.uniformTraffic(0, 1.2 * 8 * 5 * 0.85, 1_000_000, 20_000_000);
                 fleet.run(24_000_000);
                 inTime[peers] += fleet.inTime;
                 offered = fleet.offered;
@@ -159,7 +159,7 @@
                         true,
                         0,
                         copies));
-        fleet.traffic(0, 13 * 4 * 0.5 / 0.4, 400_000, 30_000_000);
+        fleet.uniformTraffic(0, 13 * 4 * 0.5 / 0.4, 400_000, 30_000_000);
         fleet.hangInTurn(700_000, 30_000_000);
         for (int half = 0; half < 2; half++) {
             fleet.cancelStops = half >= stopsFrom && half < stopsTo;
@@ -216,8 +216,8 @@
                             true,
                             small,
                             large));
-            fleet.traffic(0, 30, 800_000, 30_000_000);
-            fleet.traffic(1, 16, 1_800_000, 30_000_000);
+            fleet.uniformTraffic(0, 30, 800_000, 30_000_000);
+            fleet.uniformTraffic(1, 16, 1_800_000, 30_000_000);
             fleet.run(35_000_000);
             served[withObjective] = new double[] {
                 1.0 * fleet.inTimeByClass[0] / fleet.offeredByClass[0],
@@ -241,7 +241,7 @@
             double limit = settings.coldStart().overloadFactor()
                     * window
                     * m.slots
-                    * FleetSimulation.warmth(m.worker, since, settings);
+                    * FleetSimulation.capacityFraction(m.worker, since, settings);
             for (int i = from; i < m.arrivals.size() && m.arrivals.get(i)[0] <= since + window; i++) {
                 work += m.arrivals.get(i)[1];
             }
--- a/src/test/java/barrowflow/MarketTest.java
+++ b/src/test/java/barrowflow/MarketTest.java
@@ -34,7 +34,7 @@
         assertEquals(1, host.sent.stream().filter(s -> s.request() < 10).count());
     }
 
-    private static Settings copying(Dispatcher.JobClass jobs) {
+    private static Settings settingsWithCopies(Dispatcher.JobClass jobs) {
         return new Settings(
                 1,
                 0,
@@ -55,7 +55,8 @@
     @Test
     void aJobIsCopiedOnlyIfObservedWaitsShowABenefit() {
         for (int waits = 0; waits <= 1; waits++) {
-            FakeHost host = withLearnedJobs(new FakeHost(copying(FakeHost.SAFE), 5).withWorkers(4), waits == 1 ? 5 : 0);
+            FakeHost host = withLearnedJobs(
+                    new FakeHost(settingsWithCopies(FakeHost.SAFE), 5).withWorkers(4), waits == 1 ? 5 : 0);
             host.request(1, 0);
             host.pass(5 * FakeHost.PERIOD);
             assertEquals(
@@ -87,7 +88,7 @@
     @Test
     void theFirstOfTwoCopiesToStartContinues() {
         for (int copyStarts = 0; copyStarts <= 1; copyStarts++) {
-            FakeHost host = withLearnedJobs(new FakeHost(copying(FakeHost.SAFE), 5).withWorkers(3), 0);
+            FakeHost host = withLearnedJobs(new FakeHost(settingsWithCopies(FakeHost.SAFE), 5).withWorkers(3), 0);
             host.request(1, 0);
             host.pass(40 * FakeHost.PERIOD);
             assertEquals(2, host.sent.size(), "at most two attempts at a time");
@@ -106,12 +107,12 @@
 
     @Test
     void aJobThatMustNotRunTwiceIsNeverCopiedAndAKeyedOneStaysInItsZone() {
-        FakeHost unsafe = new FakeHost(copying(FakeHost.UNSAFE), 5).withWorkers(3);
+        FakeHost unsafe = new FakeHost(settingsWithCopies(FakeHost.UNSAFE), 5).withWorkers(3);
         unsafe.request(1, 0);
         unsafe.pass(4_000_000);
         assertEquals(1, unsafe.sent.size());
         for (long seed = 0; seed < 8; seed++) {
-            FakeHost keyed = new FakeHost(copying(FakeHost.KEYED_ZONE), seed);
+            FakeHost keyed = new FakeHost(settingsWithCopies(FakeHost.KEYED_ZONE), seed);
             keyed.module.workers(
                     keyed.now,
                     ListKind.WHOLE,
--- a/src/test/java/barrowflow/RulesTest.java
+++ b/src/test/java/barrowflow/RulesTest.java
@@ -114,7 +114,7 @@
         assertEquals(2, host.sends(1));
     }
 
-    private static FakeHost zones(Dispatcher.JobClass of, long seed) {
+    private static FakeHost hostWithTwoZones(Dispatcher.JobClass of, long seed) {
         FakeHost host = new FakeHost(FakeHost.settings(1, List.of(), of), seed);
         host.module.workers(
                 host.now,
@@ -128,7 +128,7 @@
     @Test
     void aKeyedJobThatMayHaveRunStaysInItsZone() {
         for (long seed = 0; seed < 20; seed++) {
-            FakeHost host = zones(FakeHost.KEYED_ZONE, seed);
+            FakeHost host = hostWithTwoZones(FakeHost.KEYED_ZONE, seed);
             host.request(1, 0);
             host.pass(30_000);
             long first = host.lastSend(1).worker();
@@ -142,7 +142,7 @@
 
     @Test
     void aKeyedJobOfOneCellIsNotSentToAnother() {
-        FakeHost host = zones(FakeHost.jobClass(Effect.KEYED, Group.CELL, 1, 0), 7);
+        FakeHost host = hostWithTwoZones(FakeHost.jobClass(Effect.KEYED, Group.CELL, 1, 0), 7);
         host.request(1, 0);
         host.pass(55_000);
         host.ended(1, 0, Outcome.RESET);
@@ -155,7 +155,7 @@
     @Test
     void aKeyedJobIsNotSentAgainOnceItsWindowHasPassed() {
         var late = new Dispatcher.JobClass(200_000, 2, 9_000_000, 1, 0.5, Effect.KEYED, Group.ZONE, 3_000_000, -1);
-        FakeHost host = zones(late, 7);
+        FakeHost host = hostWithTwoZones(late, 7);
         host.module.request(host.now, 1, 0, 0, 0, 9_000_000, 1, 0);
         host.pass(3_100_000);
         host.ended(1, 0, Outcome.TIMEOUT);
--- a/src/test/java/barrowflow/SharesTest.java
+++ b/src/test/java/barrowflow/SharesTest.java
@@ -16,7 +16,7 @@
     private static final int JOBS_PER_SECOND = 20;
 
     /** Sends one tenant's jobs for ten seconds; returns how many were within its share at each node. */
-    private static int[] within(double[] perSecond, boolean exchange) {
+    private static int[] jobsWithinShare(double[] perSecond, boolean exchange) {
         int nodes = perSecond.length;
         List<TenantShares> shares = IntStream.range(0, nodes)
                 .mapToObj(
@@ -49,17 +49,19 @@
 
     @Test
     void aTenantBelowItsShareIsWithinItOnEveryNode() {
-        int[] within = within(new double[] {14, 3, 1}, true);
+        int[] within = jobsWithinShare(new double[] {14, 3, 1}, true);
         assertTrue(
                 within[0] >= 126 && within[1] >= 28 && within[2] >= 9,
                 List.of(within[0], within[1], within[2]) + " of 140, 30 and 10");
-        assertTrue(within(new double[] {14, 3, 1}, false)[0] < 110, "without messages each node grants an equal part");
+        assertTrue(
+                jobsWithinShare(new double[] {14, 3, 1}, false)[0] < 110,
+                "without messages each node grants an equal part");
     }
 
     @Test
     void aTenantAboveItsShareGetsNoMoreThanItForAnySpread() {
         for (double[] spread : List.of(new double[] {80, 20, 10}, new double[] {30, 30, 30})) {
-            int[] within = within(spread, true);
+            int[] within = jobsWithinShare(spread, true);
             int all = within[0] + within[1] + within[2];
             assertTrue(
                     all >= 0.9 * 10 * JOBS_PER_SECOND && all <= 1.3 * 10 * JOBS_PER_SECOND + 9,
