--- a/src/main/java/gorserill/cluster/Ground.java
+++ b/src/main/java/gorserill/cluster/ClusterEnvironment.java
@@ -4,7 +4,7 @@
  * What a member of the cluster stands on: a clock of its own, one thread, and a way to others that may lose,
  * delay, double and reorder what is sent. All calls are made on that thread, and all callbacks come there.
  */
-public interface Ground {
+public interface ClusterEnvironment {
     /** Milliseconds of a clock that only goes forward. Two members' clocks start anywhere and may drift. */
     long millis();
 
--- a/src/main/java/gorserill/cluster/BadMessage.java
+++ b/src/main/java/gorserill/cluster/MalformedMessageException.java
@@ -1,10 +1,10 @@
 package gorserill.cluster;
 
 /** Something read from the wire or a file that can't be worked with; the text names the place. */
-public final class BadMessage extends Exception {
+public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public BadMessage(String what) {
+    public MalformedMessageException(String what) {
         super(what);
     }
 }
--- a/src/main/java/gorserill/cluster/address/Address.java
+++ b/src/main/java/gorserill/cluster/address/Address.java
@@ -1,10 +1,10 @@
 package gorserill.cluster.address;
 
-import gorserill.cluster.Ground;
+import gorserill.cluster.ClusterEnvironment;
 import gorserill.cluster.address.Announcer.Told;
-import gorserill.cluster.member.Duty;
 import gorserill.cluster.member.Member;
-import gorserill.cluster.member.Member.Claimed;
+import gorserill.cluster.member.Member.ClaimResult;
+import gorserill.cluster.member.PieceHandler;
 import java.util.SortedSet;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
@@ -15,12 +15,12 @@
  * was stalled on its way to the registry wakes up late; a registry that looks at epochs turns it away, at any
  * other the owner's next announcement, which comes each {@code refresh}, puts that right.
  */
-public final class Address implements Duty {
+public final class Address implements PieceHandler {
     private static final long AGAIN = 50;
 
     private final String value;
     private final long refresh;
-    private final Ground ground;
+    private final ClusterEnvironment ground;
     private final Announcer announcer;
     private final BiConsumer<Long, String> teller;
     private Member member;
@@ -36,7 +36,12 @@
      * @param refresh milliseconds between announcements
      * @param teller hears the epoch and what was done, for the log
      */
-    public Address(String value, long refresh, Ground ground, Announcer announcer, BiConsumer<Long, String> teller) {
+    public Address(
+            String value,
+            long refresh,
+            ClusterEnvironment ground,
+            Announcer announcer,
+            BiConsumer<Long, String> teller) {
         this.value = value;
         this.refresh = refresh;
         this.ground = ground;
@@ -79,12 +84,12 @@
             return;
         }
         member.claim(piece, act, false, answer -> {
-            if (answer == Claimed.YES) {
+            if (answer == ClaimResult.GRANTED) {
                 announce(under, act);
             } else {
                 // Danger: a number that an owner before has used is no reason to leave the address
                 // unannounced.
-                ground.after(AGAIN, () -> claim(under, answer == Claimed.NO ? act + 1 : act));
+                ground.after(AGAIN, () -> claim(under, answer == ClaimResult.REFUSED ? act + 1 : act));
             }
         });
     }
--- a/src/main/java/gorserill/cluster/consensus/Founding.java
+++ b/src/main/java/gorserill/cluster/consensus/Bootstrap.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gorserill.cluster.Ground;
+import gorserill.cluster.ClusterEnvironment;
 import java.io.IOException;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -17,7 +17,7 @@
  * came back empty under its old name would vote a second time in a term, and two leaders would own the same
  * work.
  */
-final class Founding {
+final class Bootstrap {
     static final String KEY = "founding";
 
     /** BLANK: the shelf is empty. READY: it has not voted and knows that nobody had. FOUNDED: it may vote. */
@@ -30,8 +30,8 @@
     private final String name;
     private final Collection<String> voters;
     private final long beat;
-    private final Ground ground;
-    private final Shelf shelf;
+    private final ClusterEnvironment ground;
+    private final StableStorage shelf;
     private final BiConsumer<String, JsonNode> send;
     private final Runnable founded;
     private final java.util.function.Consumer<IOException> failed;
@@ -43,12 +43,12 @@
      * @param founded is told once this voter may vote
      * @param failed is told if the shelf fails
      */
-    Founding(
+    Bootstrap(
             String name,
             Collection<String> voters,
             long beat,
-            Ground ground,
-            Shelf shelf,
+            ClusterEnvironment ground,
+            StableStorage shelf,
             BiConsumer<String, JsonNode> send,
             Runnable founded,
             java.util.function.Consumer<IOException> failed) {
@@ -65,22 +65,22 @@
     }
 
     /** Whether another voter says that the cluster was founded, though this one remembers nothing of it. */
-    boolean forgot() {
+    boolean stateLost() {
         return forgot;
     }
 
-    boolean done() {
+    boolean isComplete() {
         return stage == Stage.FOUNDED;
     }
 
     /** It was given a place, or lost it: it knows that the cluster was founded. */
-    void seated() {
+    void markComplete() {
         stage = Stage.FOUNDED;
         forgot = false;
     }
 
     void start() {
-        if (done()) {
+        if (isComplete()) {
             founded.run();
         } else if (voters.contains(name)) {
             ask();
@@ -88,7 +88,7 @@
     }
 
     private void ask() {
-        if (done() || forgot) {
+        if (isComplete() || forgot) {
             return;
         }
         tryOn();
@@ -104,7 +104,7 @@
         return JsonNodeFactory.instance.objectNode().put("stage", stage.name()).put("asks", asks);
     }
 
-    void heard(String from, JsonNode message) {
+    void receive(String from, JsonNode message) {
         if (!voters.contains(from) || !voters.contains(name) || from.equals(name)) {
             return;
         }
@@ -114,7 +114,7 @@
                     case "FOUNDED" -> Stage.FOUNDED;
                     default -> Stage.BLANK;
                 };
-        if (!done()) {
+        if (!isComplete()) {
             heard.put(from, its);
             tryOn();
         }
@@ -132,7 +132,7 @@
         }
         if (stage == Stage.READY && all && !heard.containsValue(Stage.BLANK)) {
             move(Stage.FOUNDED);
-            if (done()) {
+            if (isComplete()) {
                 founded.run();
             }
         }
--- a/src/main/java/gorserill/cluster/consensus/DiskShelf.java
+++ b/src/main/java/gorserill/cluster/consensus/DiskStorage.java
@@ -11,7 +11,7 @@
 import org.h2.mvstore.MVStoreException;
 
 /** A shelf in one file, by H2's MVStore: chunks with checksums, synced to the disk at each flush. */
-public final class DiskShelf implements Shelf, Closeable {
+public final class DiskStorage implements StableStorage, Closeable {
     /** Megabytes; a voter keeps a short log, and the node has a small heap. */
     private static final int CACHE = 1;
     /** Milliseconds in which a file that is too long is made shorter. */
@@ -26,7 +26,7 @@
      * @param most bytes that the file may take. Danger: unbounded, it would take the disk from all else
      * @throws IOException with the file's name, where it can't be read or is in use
      */
-    public DiskShelf(Path file, long most) throws IOException {
+    public DiskStorage(Path file, long most) throws IOException {
         this.file = file;
         this.most = most;
         try {
--- a/src/main/java/gorserill/cluster/consensus/RaftCodec.java
+++ b/src/main/java/gorserill/cluster/consensus/RaftCodec.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gorserill.cluster.BadMessage;
+import gorserill.cluster.MalformedMessageException;
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.RaftModelFactory;
@@ -108,8 +108,8 @@
         return to;
     }
 
-    RaftMessage read(JsonNode from) throws BadMessage {
-        Endpoint sender = new Endpoint(text(from, "from"));
+    RaftMessage read(JsonNode from) throws MalformedMessageException {
+        VoterEndpoint sender = new VoterEndpoint(text(from, "from"));
         int term = (int) number(from, "term");
         String is = text(from, "is");
         return switch (is) {
@@ -207,7 +207,7 @@
                         .setLastLogTerm((int) number(from, "last_term"))
                         .setLastLogIndex(number(from, "last_index"))
                         .build();
-            default -> throw new BadMessage("is: '" + is + "' is no message of this build");
+            default -> throw new MalformedMessageException("is: '" + is + "' is no message of this build");
         };
     }
 
@@ -226,7 +226,7 @@
         return to;
     }
 
-    LogEntry entry(JsonNode from) throws BadMessage {
+    LogEntry entry(JsonNode from) throws MalformedMessageException {
         return models.createLogEntryBuilder()
                 .setIndex(number(from, "index"))
                 .setTerm((int) number(from, "term"))
@@ -234,7 +234,7 @@
                 .build();
     }
 
-    private Object operation(JsonNode from) throws BadMessage {
+    private Object operation(JsonNode from) throws MalformedMessageException {
         JsonNode change = from.path("change");
         if (!change.isObject()) {
             return from.path("op").isTextual() ? from.path("op").textValue() : null;
@@ -243,15 +243,15 @@
             return models.createUpdateRaftGroupMembersOpBuilder()
                     .setMembers(endpoints(change.path("members")))
                     .setVotingMembers(endpoints(change.path("voting")))
-                    .setEndpoint(new Endpoint(text(change, "who")))
+                    .setEndpoint(new VoterEndpoint(text(change, "who")))
                     .setMode(MembershipChangeMode.valueOf(text(change, "how")))
                     .build();
         } catch (IllegalArgumentException e) {
-            throw new BadMessage("how: " + e.getMessage());
+            throw new MalformedMessageException("how: " + e.getMessage());
         }
     }
 
-    private List<LogEntry> entries(JsonNode from) throws BadMessage {
+    private List<LogEntry> entries(JsonNode from) throws MalformedMessageException {
         List<LogEntry> entries = new ArrayList<>();
         for (JsonNode entry : from) {
             entries.add(entry(entry));
@@ -266,7 +266,7 @@
         return to;
     }
 
-    SnapshotChunk chunk(JsonNode from) throws BadMessage {
+    SnapshotChunk chunk(JsonNode from) throws MalformedMessageException {
         return models.createSnapshotChunkBuilder()
                 .setIndex(number(from, "index"))
                 .setTerm((int) number(from, "term"))
@@ -284,7 +284,7 @@
         return to;
     }
 
-    RaftGroupMembersView view(JsonNode from) throws BadMessage {
+    RaftGroupMembersView view(JsonNode from) throws MalformedMessageException {
         return models.createRaftGroupMembersViewBuilder()
                 .setLogIndex(number(from, "index"))
                 .setMembers(endpoints(from.path("members")))
@@ -302,36 +302,36 @@
         return names;
     }
 
-    private static Collection<RaftEndpoint> endpoints(JsonNode from) throws BadMessage {
+    private static Collection<RaftEndpoint> endpoints(JsonNode from) throws MalformedMessageException {
         Collection<RaftEndpoint> endpoints = new LinkedHashSet<>();
         for (JsonNode name : from) {
             if (!name.isTextual()) {
-                throw new BadMessage("a member's name is no text");
+                throw new MalformedMessageException("a member's name is no text");
             }
-            endpoints.add(new Endpoint(name.textValue()));
+            endpoints.add(new VoterEndpoint(name.textValue()));
         }
         return endpoints;
     }
 
-    private static String text(JsonNode from, String key) throws BadMessage {
+    private static String text(JsonNode from, String key) throws MalformedMessageException {
         JsonNode value = from.path(key);
         if (!value.isTextual()) {
-            throw new BadMessage(key + ": is missing or no text");
+            throw new MalformedMessageException(key + ": is missing or no text");
         }
         return value.textValue();
     }
 
-    private static long number(JsonNode from, String key) throws BadMessage {
+    private static long number(JsonNode from, String key) throws MalformedMessageException {
         JsonNode value = from.path(key);
         if (!value.canConvertToLong()) {
-            throw new BadMessage(key + ": is missing or no whole number");
+            throw new MalformedMessageException(key + ": is missing or no whole number");
         }
         return value.longValue();
     }
 
-    private static boolean flag(JsonNode from, String key) throws BadMessage {
+    private static boolean flag(JsonNode from, String key) throws MalformedMessageException {
         if (!from.path(key).isBoolean()) {
-            throw new BadMessage(key + ": is missing or neither true nor false");
+            throw new MalformedMessageException(key + ": is missing or neither true nor false");
         }
         return from.path(key).booleanValue();
     }
--- a/src/main/java/gorserill/cluster/consensus/Shelf.java
+++ b/src/main/java/gorserill/cluster/consensus/StableStorage.java
@@ -6,7 +6,7 @@
 /**
  * Where a voter keeps texts by name: what was put before a {@link #flush} that returned outlasts any crash.
  */
-public interface Shelf {
+public interface StableStorage {
     void put(String key, String text);
 
     void remove(String key);
--- a/src/main/java/gorserill/cluster/consensus/Voter.java
+++ b/src/main/java/gorserill/cluster/consensus/Voter.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
-import gorserill.cluster.BadMessage;
-import gorserill.cluster.Ground;
+import gorserill.cluster.ClusterEnvironment;
+import gorserill.cluster.MalformedMessageException;
 import io.microraft.MembershipChangeMode;
 import io.microraft.QueryPolicy;
 import io.microraft.RaftConfig;
@@ -60,7 +60,7 @@
     private static final int CHUNK = 3_000;
 
     /** What the log is applied to; the same entries in the same order give the same state everywhere. */
-    public interface Book {
+    public interface ReplicatedState {
         /** Gives what the entry's author is told. */
         Object apply(long index, String entry);
 
@@ -70,19 +70,19 @@
         void restore(String snapshot);
     }
 
-    private final Ground ground;
+    private final ClusterEnvironment ground;
     private final RaftCodec codec;
     private final long beat;
     private final BiConsumer<String, JsonNode> send;
-    private final Book book;
+    private final ReplicatedState book;
     private final Consumer<Boolean> leads;
     private final VoterStore store;
     private final String group;
     private final String name;
     private final Collection<String> voters;
     private final Random random;
-    private final Founding founding;
-    private final Shelf shelf;
+    private final Bootstrap founding;
+    private final StableStorage shelf;
     /** The name that it votes under; empty where it has no place among the voters. */
     private String voter;
 
@@ -108,7 +108,7 @@
      * @param beat milliseconds between a leader's signs
      * @param send where messages to other voters go
      * @param leads is told when this voter begins to lead, and when it no longer does
-     * @throws BadMessage where what the shelf holds can't be read; it names the key
+     * @throws MalformedMessageException where what the shelf holds can't be read; it names the key
      */
     public Voter(
             String group,
@@ -116,12 +116,12 @@
             Collection<String> voters,
             long beat,
             long seed,
-            Ground ground,
-            Shelf shelf,
+            ClusterEnvironment ground,
+            StableStorage shelf,
             BiConsumer<String, JsonNode> send,
-            Book book,
+            ReplicatedState book,
             Consumer<Boolean> leads)
-            throws BadMessage {
+            throws MalformedMessageException {
         this.ground = ground;
         this.beat = beat;
         this.send = send;
@@ -134,12 +134,12 @@
         random = new Random(seed);
         codec = new RaftCodec(group);
         store = new VoterStore(shelf, codec, this::storeFailed);
-        Seat seat = Seat.kept(shelf);
+        VoterAssignment seat = VoterAssignment.load(shelf);
         voter = seat != null ? seat.voter() : voters.contains(name) ? name : "";
         first = seat != null ? seat.first() : voters;
         since = seat != null ? seat.since() : 0;
         build();
-        founding = new Founding(
+        founding = new Bootstrap(
                 name,
                 voters,
                 beat,
@@ -158,13 +158,13 @@
     }
 
     /** The library's node, as what the store holds makes it. */
-    private void build() throws BadMessage {
+    private void build() throws MalformedMessageException {
         life = null;
         raft = null;
         if (voter.isEmpty()) {
             return;
         }
-        RestoredRaftState restored = store.restored();
+        RestoredRaftState restored = store.load();
         RaftConfig config = RaftConfig.newBuilder()
                 .setLeaderElectionTimeoutMillis(SECOND)
                 .setLeaderHeartbeatPeriodSecs(1)
@@ -184,12 +184,12 @@
                 .setStore(store)
                 .setModelFactory(codec.models())
                 .setRandom(new Random(random.nextLong()))
-                .setClock(new GroundClock())
+                .setClock(new ScaledClock())
                 .setRaftNodeReportListener(life::reported);
         if (restored == null) {
             List<RaftEndpoint> members = new ArrayList<>();
-            first.forEach(one -> members.add(new Endpoint(one)));
-            builder.setLocalEndpoint(new Endpoint(voter)).setInitialGroupMembers(members);
+            first.forEach(one -> members.add(new VoterEndpoint(one)));
+            builder.setLocalEndpoint(new VoterEndpoint(voter)).setInitialGroupMembers(members);
         } else {
             builder.setRestoredState(restored);
         }
@@ -218,7 +218,7 @@
             book.restore(null);
             build();
             takePart();
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             storeFailed(new IOException(e.getMessage()));
         }
     }
@@ -245,7 +245,7 @@
     }
 
     /** What the library's node says of itself, for whoever looks for a fault. */
-    public String report() {
+    public String diagnostics() {
         return raft == null
                 ? "none"
                 : raft.getTerm() + " " + raft.getStatus() + " "
@@ -259,18 +259,18 @@
 
     /** The node of a voter. */
     public static String node(String voter) {
-        return Endpoint.node(voter);
+        return VoterEndpoint.node(voter);
     }
 
     /** Whether a node votes in the place that an entry of the log gave it. */
     public boolean votes(String node, long entry) {
-        return members().getOrDefault(Endpoint.name(node, entry), false);
+        return members().getOrDefault(VoterEndpoint.name(node, entry), false);
     }
 
     /** The nodes of the voters, and of those that are to become voters. */
-    public Set<String> seats() {
+    public Set<String> voterNodes() {
         Set<String> nodes = new TreeSet<>();
-        members().keySet().forEach(one -> nodes.add(Endpoint.node(one)));
+        members().keySet().forEach(one -> nodes.add(VoterEndpoint.node(one)));
         return nodes;
     }
 
@@ -286,20 +286,20 @@
      * @return whether nothing is left to be done
      */
     public boolean replace(String leaving, String coming, long entry, Consumer<JsonNode> seat) {
-        String fresh = Endpoint.name(coming, entry);
+        String fresh = VoterEndpoint.name(coming, entry);
         Map<String, Boolean> members = members();
-        if (changing || !leading()) {
+        if (changing || !isLeader()) {
             return false;
         } else if (!members.containsKey(fresh)) {
             change(fresh, MembershipChangeMode.ADD_LEARNER);
         } else if (!members.get(fresh)) {
             List<String> founders = new ArrayList<>();
             raft.getInitialMembers().getMembers().forEach(one -> founders.add(RaftCodec.name(one)));
-            seat.accept(new Seat(fresh, founders, membersSince()).text());
+            seat.accept(new VoterAssignment(fresh, founders, membersSince()).toJson());
             promote(fresh);
         } else {
             for (Map.Entry<String, Boolean> one : members.entrySet()) {
-                boolean goes = Endpoint.node(one.getKey()).equals(leaving) || !one.getValue();
+                boolean goes = VoterEndpoint.node(one.getKey()).equals(leaving) || !one.getValue();
                 if (goes && !one.getKey().equals(fresh)) {
                     change(one.getKey(), MembershipChangeMode.REMOVE_MEMBER);
                     return false;
@@ -318,7 +318,7 @@
                     changing = false;
                     if (fault == null && raft == its && !ended) {
                         var log = report.getResult().getLog();
-                        if (log.getFollowerMatchIndices().getOrDefault(new Endpoint(fresh), 0L)
+                        if (log.getFollowerMatchIndices().getOrDefault(new VoterEndpoint(fresh), 0L)
                                 >= log.getCommitIndex() - ENTRIES) {
                             change(fresh, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
                         }
@@ -329,30 +329,30 @@
     private void change(String who, MembershipChangeMode how) {
         changing = true;
         RaftNode its = raft;
-        its.changeMembership(new Endpoint(who), how, membersSince())
+        its.changeMembership(new VoterEndpoint(who), how, membersSince())
                 .whenComplete((result, fault) -> ground.after(0, () -> {
                     changing = false;
                 }));
     }
 
     /** A leader gives this node a place among the voters. One that has a place keeps it. */
-    public void seated(JsonNode text) throws BadMessage {
-        Seat seat = Seat.of(text, "seat");
-        boolean free = voter.isEmpty() || founding.forgot();
-        if (ended || !free || !Endpoint.node(seat.voter()).equals(name) || seat.since() <= since) {
+    public void acceptAssignment(JsonNode text) throws MalformedMessageException {
+        VoterAssignment seat = VoterAssignment.parse(text, "seat");
+        boolean free = voter.isEmpty() || founding.stateLost();
+        if (ended || !free || !VoterEndpoint.node(seat.voter()).equals(name) || seat.since() <= since) {
             return;
         }
         take(seat);
     }
 
-    private void take(Seat seat) {
+    private void take(VoterAssignment seat) {
         try {
-            seat.keep(shelf);
+            seat.save(shelf);
         } catch (IOException e) {
             storeFailed(e);
             return;
         }
-        founding.seated();
+        founding.markComplete();
         voter = seat.voter();
         first = seat.first();
         since = seat.since();
@@ -363,20 +363,20 @@
      * Hears, from a leader that a quorum confirmed, who the members are. Danger: one that is none of them any
      * more would go on asking for votes; it keeps no log, and never comes back under its name.
      */
-    public void told(Set<String> members, long as) {
+    public void updateMembers(Set<String> members, long as) {
         if (!ended
                 && !voter.isEmpty()
-                && founding.done()
+                && founding.isComplete()
                 && as > since
                 && !members.isEmpty()
                 && !members.contains(voter)) {
-            take(new Seat("", List.copyOf(first), as));
+            take(new VoterAssignment("", List.copyOf(first), as));
         }
     }
 
     /** Plants a fault: a voter whose store is empty goes on as if the cluster had been founded with it. */
-    public static void plantFounded(Shelf shelf) {
-        shelf.put(Founding.KEY, Founding.Stage.FOUNDED.name());
+    public static void injectFounded(StableStorage shelf) {
+        shelf.put(Bootstrap.KEY, Bootstrap.Stage.FOUNDED.name());
     }
 
     public void start() {
@@ -395,28 +395,30 @@
     }
 
     /** Why this voter takes no part, or null where it does. */
-    public String broken() {
+    public String inactiveReason() {
         return broken != null
                 ? broken
-                : founding.forgot()
+                : founding.stateLost()
                         ? "its store is empty, but the cluster was founded: it must be replaced"
                         : voter.isEmpty()
                                 ? since > 0 ? "another has its place" : "spare"
-                                : founding.done() ? null : "waits for all voters to be there for the first time";
+                                : founding.isComplete() ? null : "waits for all voters to be there for the first time";
     }
 
     /** A message of another voter. */
-    public void heard(String from, JsonNode message) throws BadMessage {
+    public void receive(String from, JsonNode message) throws MalformedMessageException {
         if (ended) {
             return;
         } else if (message.path("founding").isObject()) {
-            founding.heard(from, message.path("founding"));
-        } else if (!Endpoint.node(message.path("from").asText()).equals(from)) {
-            throw new BadMessage("raft: from: is not its sender");
+            founding.receive(from, message.path("founding"));
+        } else if (!VoterEndpoint.node(message.path("from").asText()).equals(from)) {
+            throw new MalformedMessageException("raft: from: is not its sender");
         } else {
             RaftMessage read = codec.read(message);
             // Danger: one that lost its memory must not answer as if it had none to lose; nor as another.
-            if (founding.done() && raft != null && message.path("to").asText().equals(voter)) {
+            if (founding.isComplete()
+                    && raft != null
+                    && message.path("to").asText().equals(voter)) {
                 raft.handle(read);
             }
         }
@@ -424,15 +426,15 @@
 
     /** Who leads as far as is known; null where nobody does. */
     public String leader() {
-        return leader == null ? null : Endpoint.node(leader);
+        return leader == null ? null : VoterEndpoint.node(leader);
     }
 
-    public boolean leading() {
+    public boolean isLeader() {
         return leading && !ended;
     }
 
     /** The index of the last entry that was applied here. */
-    public long applied() {
+    public long appliedIndex() {
         return applied;
     }
 
@@ -450,7 +452,7 @@
     }
 
     /** Asks a quorum whether this voter still leads: if so, what it has applied holds at this moment. */
-    public void confirm(Consumer<Boolean> then) {
+    public void confirmLeadership(Consumer<Boolean> then) {
         if (raft == null) {
             ground.after(0, () -> then.accept(false));
             return;
@@ -480,7 +482,7 @@
     }
 
     /** The ground's clock, quick enough that a beat is one of the library's seconds. */
-    private final class GroundClock extends Clock {
+    private final class ScaledClock extends Clock {
         @Override
         public long millis() {
             return ground.millis() * SECOND / beat;
@@ -554,7 +556,7 @@
             if (!over()) {
                 refuses(message);
                 String to = RaftCodec.name(target);
-                Voter.this.send(Endpoint.node(to), codec.write(message).put("to", to));
+                Voter.this.send(VoterEndpoint.node(to), codec.write(message).put("to", to));
             }
         }
 
--- a/src/main/java/gorserill/cluster/consensus/Endpoint.java
+++ b/src/main/java/gorserill/cluster/consensus/VoterEndpoint.java
@@ -7,7 +7,7 @@
  * the log's entry that said so. Danger: a node that lost its disk must not come back as the voter that it
  * was.
  */
-record Endpoint(String name) implements RaftEndpoint {
+record VoterEndpoint(String name) implements RaftEndpoint {
     private static final char PLACE = '#';
 
     /** The voter that a node becomes by that entry of the log. */
--- a/src/main/java/gorserill/cluster/consensus/VoterStore.java
+++ b/src/main/java/gorserill/cluster/consensus/VoterStore.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gorserill.cluster.BadMessage;
+import gorserill.cluster.MalformedMessageException;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
@@ -34,25 +34,26 @@
     private static final String CHUNK = "chunk/";
     private static final ObjectMapper TEXT = new ObjectMapper();
 
-    private final Shelf shelf;
+    private final StableStorage shelf;
     private final RaftCodec codec;
     private final Consumer<IOException> failed;
 
-    VoterStore(Shelf shelf, RaftCodec codec, Consumer<IOException> failed) {
+    VoterStore(StableStorage shelf, RaftCodec codec, Consumer<IOException> failed) {
         this.shelf = shelf;
         this.codec = codec;
         this.failed = failed;
     }
 
     /** What was kept, or null where nothing was: then this voter remembers no vote and no entry. */
-    RestoredRaftState restored() throws BadMessage {
+    RestoredRaftState load() throws MalformedMessageException {
         SortedMap<String, String> all = shelf.all();
         if (!all.containsKey(ENDPOINT) || !all.containsKey(MEMBERS)) {
             return null;
         }
         var endpoint = codec.models()
                 .createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new Endpoint(read(all, ENDPOINT).path("name").asText()))
+                .setLocalEndpoint(
+                        new VoterEndpoint(read(all, ENDPOINT).path("name").asText()))
                 .setVoting(read(all, ENDPOINT).path("voting").asBoolean())
                 .build();
         // Danger: one that ended before its first term has none kept, and the library takes no null.
@@ -62,7 +63,7 @@
                 .setTerm(kept.path("term").asInt())
                 .setVotedFor(
                         kept.path("voted").isTextual()
-                                ? new Endpoint(kept.path("voted").asText())
+                                ? new VoterEndpoint(kept.path("voted").asText())
                                 : null)
                 .build();
         SnapshotEntry snapshot = snapshot(all);
@@ -77,7 +78,7 @@
     }
 
     /** The last snapshot of which every piece is there. */
-    private SnapshotEntry snapshot(SortedMap<String, String> all) throws BadMessage {
+    private SnapshotEntry snapshot(SortedMap<String, String> all) throws MalformedMessageException {
         Map<Long, List<SnapshotChunk>> byIndex = new TreeMap<>();
         for (String key : all.subMap(CHUNK, CHUNK + "~").keySet()) {
             SnapshotChunk chunk = codec.chunk(read(all, key));
@@ -99,11 +100,11 @@
         return last;
     }
 
-    private static JsonNode read(Map<String, String> all, String key) throws BadMessage {
+    private static JsonNode read(Map<String, String> all, String key) throws MalformedMessageException {
         try {
             return TEXT.readTree(all.get(key));
         } catch (JsonProcessingException e) {
-            throw new BadMessage(key + ": is no JSON: " + e.getOriginalMessage());
+            throw new MalformedMessageException(key + ": is no JSON: " + e.getOriginalMessage());
         }
     }
 
--- a/src/main/java/gorserill/cluster/lab/Explorer.java
+++ b/src/main/java/gorserill/cluster/lab/Explorer.java
@@ -43,7 +43,7 @@
      * @param steps how many may
      * @param depth slips in a run, 1 or 2
      */
-    public static Found run(long seed, Scene scene, int from, int steps, int depth, Set<Member.Plant> plants) {
+    public static Found run(long seed, Scene scene, int from, int steps, int depth, Set<Member.InjectedFault> plants) {
         List<Map<Integer, Slip>> all = new ArrayList<>();
         for (int first = from; first < from + steps; first++) {
             for (Slip one : Slip.values()) {
--- a/src/main/java/gorserill/cluster/lab/Lab.java
+++ b/src/main/java/gorserill/cluster/lab/Lab.java
@@ -1,11 +1,11 @@
 package gorserill.cluster.lab;
 
-import gorserill.cluster.BadMessage;
-import gorserill.cluster.Ground;
+import gorserill.cluster.ClusterEnvironment;
+import gorserill.cluster.MalformedMessageException;
 import gorserill.cluster.consensus.Voter;
-import gorserill.cluster.member.Duty;
 import gorserill.cluster.member.Member;
-import gorserill.cluster.member.Terms;
+import gorserill.cluster.member.MemberConfig;
+import gorserill.cluster.member.PieceHandler;
 import gorserill.cluster.shared.Allowance;
 import gorserill.cluster.shared.Budget;
 import gorserill.cluster.shared.Door;
@@ -83,11 +83,12 @@
             int seconds,
             long seed,
             Set<Fault> faults,
-            Set<Member.Plant> plants,
+            Set<Member.InjectedFault> plants,
             long calm,
             Scene scene,
             Map<Integer, Slip> slips) {
-        public Plan(int nodes, int voters, int seconds, long seed, Set<Fault> faults, Set<Member.Plant> plants) {
+        public Plan(
+                int nodes, int voters, int seconds, long seed, Set<Fault> faults, Set<Member.InjectedFault> plants) {
             this(nodes, voters, seconds, seed, faults, plants, CALM, Scene.QUIET, Map.of());
         }
     }
@@ -247,7 +248,7 @@
     }
 
     /** A node: its process, its clock and its disk. */
-    private final class LabNode implements Ground, Duty {
+    private final class LabNode implements ClusterEnvironment, PieceHandler {
         final String name;
         final LabShelf shelf = new LabShelf();
         final double rate;
@@ -288,7 +289,7 @@
             }
             try {
                 member = new Member(
-                        new Terms(
+                        new MemberConfig(
                                 "lab",
                                 name,
                                 name + "/" + incarnation,
@@ -321,18 +322,18 @@
                 spender[0] = new Spender(
                         budgets,
                         this,
-                        member.spends(),
+                        member.budgetLink(),
                         BEAT,
                         LEASE,
-                        plan.plants.contains(Member.Plant.GIVES_BACK_LATE),
+                        plan.plants.contains(Member.InjectedFault.GIVES_BACK_LATE),
                         all -> {
                             allowances = all;
                             door.allows(all);
                         });
-                member.spender(spender[0]);
+                member.setSpender(spender[0]);
                 member.start();
                 jobs();
-            } catch (BadMessage e) {
+            } catch (MalformedMessageException e) {
                 violation("a store that can't be read: " + e.getMessage());
             }
         }
@@ -362,7 +363,7 @@
         }
 
         Traffic.Role role() {
-            String voting = member.voting();
+            String voting = member.voterStatus();
             return "leads".equals(voting)
                     ? Traffic.Role.LEADER
                     : "votes".equals(voting) ? Traffic.Role.VOTER : Traffic.Role.PLAIN;
@@ -404,7 +405,7 @@
                 at(now + way, target, -1, () -> {
                     if (target.up && (target.incarnation == to1 || random.nextBoolean())) {
                         target.count(Traffic.Direction.RECEIVED, kind, message.length);
-                        target.member.heard(message);
+                        target.member.receive(message);
                     }
                 });
             }
@@ -690,8 +691,9 @@
     private void describe() {
         nodes.values()
                 .forEach(node -> tell(node.name + " life " + node.member.life() + " "
-                        + node.member.voting() + ", leader " + node.member.leader() + ", owns " + node.member.owned()
-                        + ", dropped " + node.member.dropped() + ", " + node.member.report()));
+                        + node.member.voterStatus() + ", leader " + node.member.leader() + ", owns "
+                        + node.member.owned()
+                        + ", dropped " + node.member.dropped() + ", " + node.member.diagnostics()));
     }
 
     /** Once all is whole, each piece has an owner, and what may be done again was done. */
@@ -789,10 +791,10 @@
             }
             case LEAVE -> {
                 if (node.up) {
-                    node.member.leaves(true);
+                    node.member.setLeaving(true);
                     later(length, () -> {
                         if (node.up) {
-                            node.member.leaves(false);
+                            node.member.setLeaving(false);
                         }
                     });
                 }
@@ -802,7 +804,7 @@
         if (fault == Fault.DISK) {
             later(length, () -> {
                 node.shelf.fails = false;
-                if (node.up && node.member.voting() != null) {
+                if (node.up && node.member.voterStatus() != null) {
                     // Whoever had a failing disk is started again once there is room.
                     crash(node, 50);
                 }
@@ -819,8 +821,8 @@
 
     private Map<String, Boolean> voters() {
         return nodes.values().stream()
-                .filter(n -> n.up && "leads".equals(n.member.voting()))
-                .max(Comparator.comparingLong(n -> n.member.asOf()))
+                .filter(n -> n.up && "leads".equals(n.member.voterStatus()))
+                .max(Comparator.comparingLong(n -> n.member.viewIndex()))
                 .map(n -> n.member.voters())
                 .orElse(Map.of());
     }
@@ -830,13 +832,13 @@
         Set<String> seats = seats();
         List<String> spare = new ArrayList<>(nodes.keySet());
         spare.removeIf(name -> seats.contains(name) && !name.equals(gone.name)
-                || name.equals(gone.name) && !gone.member.voting().contains("empty"));
+                || name.equals(gone.name) && !gone.member.voterStatus().contains("empty"));
         LabNode asked = any();
         if (lost == gone && place == null && asked.up && !spare.isEmpty()) {
             String coming = spare.get(random.nextInt(spare.size()));
             asked.member.replace(gone.name, coming, LEASE, answer -> {
-                if (answer != null && answer.done() && lost == gone) {
-                    place = coming + "#" + answer.number();
+                if (answer != null && answer.accepted() && lost == gone) {
+                    place = coming + "#" + answer.value();
                     tell("operator: " + place + " is to vote in the place of " + gone.name);
                 }
             });
--- a/src/main/java/gorserill/cluster/lab/LabShelf.java
+++ b/src/main/java/gorserill/cluster/lab/LabShelf.java
@@ -1,12 +1,12 @@
 package gorserill.cluster.lab;
 
-import gorserill.cluster.consensus.Shelf;
+import gorserill.cluster.consensus.StableStorage;
 import java.io.IOException;
 import java.util.SortedMap;
 import java.util.TreeMap;
 
 /** A shelf that loses at a crash what was not flushed, and can be made to fail or to forget. */
-final class LabShelf implements Shelf {
+final class LabShelf implements StableStorage {
     private SortedMap<String, String> kept = new TreeMap<>();
     private SortedMap<String, String> now = new TreeMap<>();
     boolean fails;
--- a/src/main/java/gorserill/cluster/member/BudgetRequests.java
+++ b/src/main/java/gorserill/cluster/member/BudgetRequests.java
@@ -24,13 +24,13 @@
      *
      * @param then the answer, or null where there is none: a newer one took its place, or there is no room
      */
-    record Waiting(Entry.RequestBudget request, Consumer<Register.Answer> then) {}
+    record Waiting(Entry.RequestBudget request, Consumer<Register.CommandResult> then) {}
 
     private record Key(String node, String budget) {}
 
     private final Map<Key, Waiting> waiting = new LinkedHashMap<>();
 
-    void add(Entry.RequestBudget request, Consumer<Register.Answer> then) {
+    void add(Entry.RequestBudget request, Consumer<Register.CommandResult> then) {
         Key key = new Key(request.node(), request.budget());
         Waiting before = waiting.get(key);
         if (before == null ? waiting.size() >= WAITING : newer(before.request, request)) {
--- a/src/main/java/gorserill/cluster/member/LeaderService.java
+++ b/src/main/java/gorserill/cluster/member/LeaderService.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gorserill.cluster.Ground;
+import gorserill.cluster.ClusterEnvironment;
 import gorserill.cluster.consensus.Voter;
 import gorserill.cluster.ownership.Entry;
 import gorserill.cluster.ownership.Register;
@@ -27,8 +27,8 @@
     /** Renewals that wait; beyond that they are dropped, and asked for again. */
     private static final int WAITING = 1_024;
 
-    private final Terms terms;
-    private final Ground ground;
+    private final MemberConfig config;
+    private final ClusterEnvironment ground;
     private final Voter voter;
     private final Register register;
     private final BiConsumer<String, ObjectNode> send;
@@ -37,7 +37,7 @@
     private final Map<String, Long> closing = new HashMap<>();
 
     private final List<Renewal> waiting = new ArrayList<>();
-    private final OpenQuestions questions = new OpenQuestions();
+    private final PendingRequests questions = new PendingRequests();
     private final BudgetRequests requests = new BudgetRequests();
     private boolean grouping;
     private boolean confirming;
@@ -50,8 +50,13 @@
 
     private record Renewal(BiConsumer<String, ObjectNode> back, String node, long life, long at, long came) {}
 
-    LeaderService(Terms terms, Ground ground, Voter voter, Register register, BiConsumer<String, ObjectNode> send) {
-        this.terms = terms;
+    LeaderService(
+            MemberConfig config,
+            ClusterEnvironment ground,
+            Voter voter,
+            Register register,
+            BiConsumer<String, ObjectNode> send) {
+        this.config = config;
         this.ground = ground;
         this.voter = voter;
         this.register = register;
@@ -80,7 +85,7 @@
             return;
         }
         // Danger: one that was stalled, or is starved, has not listened, and would take all others for dead.
-        long late = Math.max(0, ground.millis() - lookedAt - 2 * terms.beat());
+        long late = Math.max(0, ground.millis() - lookedAt - 2 * config.heartbeatMs());
         lookedAt = ground.millis();
         if (late > 0) {
             heardAt.replaceAll((node, heard) -> new Heard(heard.life, heard.at + late));
@@ -92,22 +97,22 @@
             if (heard == null || heard.life != life) {
                 // Danger: measured by when the life before was heard, a new one would be over at once.
                 heardAt.put(each.getKey(), new Heard(life, ground.millis()));
-            } else if (ground.millis() - heard.at > terms.patience()) {
+            } else if (ground.millis() - heard.at > config.failureTimeoutMs()) {
                 heardAt.put(each.getKey(), new Heard(life, ground.millis()));
                 closing.put(each.getKey(), life);
-                put(new Entry.Close(each.getKey(), life, Register.UNHEARD), answer -> {});
+                put(new Entry.Close(each.getKey(), life, Register.NOT_HEARD), answer -> {});
             }
         }
         // Danger: a process that was replaced spends until its lease is over, and may not know yet.
-        Set<String> ghosts = register.parts().ghosts.keySet();
+        Set<String> ghosts = register.budgetShares().ghosts.keySet();
         ghostsSeen.keySet().retainAll(ghosts);
         ghosts.forEach(ghost -> ghostsSeen.putIfAbsent(ghost, ground.millis()));
         ghostsSeen.forEach((ghost, at) -> {
-            if (ground.millis() - at > terms.patience()) {
-                put(new Entry.Bury(ghost), answer -> {});
+            if (ground.millis() - at > config.failureTimeoutMs()) {
+                put(new Entry.ReclaimShare(ghost), answer -> {});
             }
         });
-        Register.Replacing its = register.replacing();
+        Register.VoterReplacement its = register.replacing();
         if (its != null
                 && voter.replace(
                         its.leaving,
@@ -116,11 +121,11 @@
                         seat -> send.accept(its.coming, message("seat").set("seat", seat)))) {
             put(new Entry.Replaced(its.entry), answer -> {});
         }
-        ground.after(terms.beat(), () -> watch(since));
+        ground.after(config.heartbeatMs(), () -> watch(since));
     }
 
-    private void put(Entry entry, Consumer<Register.Answer> then) {
-        put(entry, Register.Answer.class, then);
+    private void put(Entry entry, Consumer<Register.CommandResult> then) {
+        put(entry, Register.CommandResult.class, then);
     }
 
     /**
@@ -143,21 +148,21 @@
     }
 
     void asked(BiConsumer<String, ObjectNode> back, String from, String process, long id, Entry entry) {
-        Consumer<Register.Answer> way = answer -> back.accept(
+        Consumer<Register.CommandResult> way = answer -> back.accept(
                 from,
                 message("told")
                         .put("process", process)
                         .put("id", id)
-                        .put("done", answer.done())
-                        .put("why", answer.why())
-                        .put("number", answer.number()));
+                        .put("done", answer.accepted())
+                        .put("why", answer.reason())
+                        .put("number", answer.value()));
         String whyNot = entry.format() > register.format()
                 ? "not all nodes are of a build that knows this yet"
                 : entry instanceof Entry.Replace replace ? whyNot(replace) : null;
-        Consumer<Register.Answer> all = answer -> questions.answered(process, id, answer);
+        Consumer<Register.CommandResult> all = answer -> questions.complete(process, id, answer);
         if (whyNot != null) {
-            way.accept(new Register.Answer(false, whyNot, 0));
-        } else if (!questions.came(process, id, way)) {
+            way.accept(new Register.CommandResult(false, whyNot, 0));
+        } else if (!questions.add(process, id, way)) {
             // Its entry is on its way already.
             return;
         } else if (entry instanceof Entry.RequestBudget request) {
@@ -174,7 +179,7 @@
         if (!grouping && requests.size() > 0) {
             grouping = true;
             long since = leadsSince;
-            ground.after((long) (terms.beat() * GATHER), () -> {
+            ground.after((long) (config.heartbeatMs() * GATHER), () -> {
                 if (since == leadsSince) {
                     nextGroup();
                 }
@@ -193,11 +198,11 @@
                 group.stream().map(BudgetRequests.Waiting::request).toList());
         long since = leadsSince;
         if (all.format() <= register.format()) {
-            put(all, Register.Answers.class, answers -> {
+            put(all, Register.CommandResults.class, answers -> {
                 for (int i = 0; i < group.size(); i++) {
                     group.get(i)
                             .then()
-                            .accept(answers == null ? null : answers.each().get(i));
+                            .accept(answers == null ? null : answers.results().get(i));
                 }
                 grouped(since, more);
             });
@@ -229,8 +234,8 @@
 
     /** Why a voter can't be replaced so; null where it can. */
     private String whyNot(Entry.Replace replace) {
-        Set<String> seats = voter.seats();
-        Register.Replacing its = register.replacing();
+        Set<String> seats = voter.voterNodes();
+        Register.VoterReplacement its = register.replacing();
         // Danger: let go of when the new one votes already, the old one would vote on for good.
         return its != null && voter.votes(its.coming, its.entry)
                 ? its.coming + " is just taking the place of " + its.leaving + "; ask again when that is done"
@@ -250,7 +255,7 @@
         }
         if (!confirming) {
             confirming = true;
-            ground.after((long) (terms.beat() * GATHER), this::confirm);
+            ground.after((long) (config.heartbeatMs() * GATHER), this::confirm);
         }
     }
 
@@ -258,7 +263,7 @@
         List<Renewal> batch = new ArrayList<>(waiting);
         waiting.clear();
         long since = leadsSince;
-        voter.confirm(leads -> {
+        voter.confirmLeadership(leads -> {
             if (since != leadsSince) {
                 return;
             }
@@ -268,7 +273,7 @@
             }
             if (!waiting.isEmpty()) {
                 confirming = true;
-                ground.after((long) (terms.beat() * GATHER), this::confirm);
+                ground.after((long) (config.heartbeatMs() * GATHER), this::confirm);
             }
         });
     }
@@ -294,18 +299,20 @@
     /** What a node owns, as of the log's last entry. */
     private ObjectNode view(String to, long at) {
         Register.Node node = register.nodes().get(to);
-        ObjectNode view =
-                message("view").put("at", at).put("as_of", voter.applied()).put("life", node == null ? 0 : node.life);
+        ObjectNode view = message("view")
+                .put("at", at)
+                .put("as_of", voter.appliedIndex())
+                .put("life", node == null ? 0 : node.life);
         view.put("members_since", voter.membersSince());
         voter.members().keySet().forEach(view.putArray("members")::add);
         ArrayNode budgets = view.putArray("budgets");
-        register.parts().parts.forEach((name, its) -> {
+        register.budgetShares().parts.forEach((name, its) -> {
             BudgetShares.Share part = its.get(to);
             if (part != null) {
                 budgets.addObject()
                         .put("budget", name)
                         .put("has", part.has)
-                        .put("due", register.parts().due(name).get(to))
+                        .put("due", register.budgetShares().due(name).get(to))
                         .put("turn", part.turn);
             }
         });
@@ -316,7 +323,7 @@
                         .put("piece", name)
                         .put("epoch", piece.epoch)
                         .put("last", piece.last)
-                        .put("stays", to.equals(register.heir(name)));
+                        .put("stays", to.equals(register.preferredOwner(name)));
                 ArrayNode unknown = one.putArray("unknown");
                 piece.unknown.forEach(unknown::add);
             }
--- a/src/main/java/gorserill/cluster/member/Member.java
+++ b/src/main/java/gorserill/cluster/member/Member.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gorserill.cluster.BadMessage;
-import gorserill.cluster.Ground;
-import gorserill.cluster.consensus.Shelf;
+import gorserill.cluster.ClusterEnvironment;
+import gorserill.cluster.MalformedMessageException;
+import gorserill.cluster.consensus.StableStorage;
 import gorserill.cluster.consensus.Voter;
 import gorserill.cluster.ownership.Entry;
 import gorserill.cluster.ownership.Register;
@@ -35,7 +35,7 @@
  */
 public final class Member {
     /** Bytes of a message; a longer one is not sent. A node's view of 64 pieces with all their acts fits. */
-    public static final int MOST = 60_000;
+    public static final int MAX_MESSAGE_BYTES = 60_000;
     /** Renewals in a lease; some may be lost. */
     private static final int RENEWALS = 5;
     /** What is asked of the leader and waits for its answer. */
@@ -48,18 +48,18 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** What came of a claim. */
-    public enum Claimed {
-        YES,
+    public enum ClaimResult {
+        GRANTED,
         /** The act was claimed before, or may be; it must not be done. */
-        NO,
+        REFUSED,
         /** It is not in the log, and won't come into it by this question: it may be asked again later. */
-        LATER,
-        /** It may be in the log, or may yet; asked again by the same owner, the log says YES if it is. */
+        RETRY,
+        /** It may be in the log, or may yet; asked again by the same owner, the log grants it if it is. */
         UNKNOWN
     }
 
     /** Faults that can be planted, so that checks are seen to find them. */
-    public enum Plant {
+    public enum InjectedFault {
         /** A lease counts from its answer's coming, and three times as long. */
         LEASE_WITHOUT_MARGIN,
         /** An owner takes its claim for granted. */
@@ -95,20 +95,20 @@
 
     private static final class Question {
         final Entry entry;
-        final Consumer<Register.Answer> then;
+        final Consumer<Register.CommandResult> then;
         final long until;
 
-        Question(Entry entry, Consumer<Register.Answer> then, long until) {
+        Question(Entry entry, Consumer<Register.CommandResult> then, long until) {
             this.entry = entry;
             this.then = then;
             this.until = until;
         }
     }
 
-    private final Terms terms;
-    private final Ground ground;
-    private final Duty duty;
-    private final Set<Plant> plants;
+    private final MemberConfig config;
+    private final ClusterEnvironment ground;
+    private final PieceHandler duty;
+    private final Set<InjectedFault> plants;
     private final Register register;
     /** Null at a node that does not vote. */
     private final Voter voter;
@@ -140,34 +140,41 @@
 
     /**
      * @param shelf where a voter keeps what it must not forget; null at a node that does not vote
-     * @throws BadMessage where the shelf can't be read
+     * @throws MalformedMessageException where the shelf can't be read
      */
-    public Member(Terms terms, Ground ground, Shelf shelf, long seed, Duty duty, Set<Plant> plants) throws BadMessage {
-        this.terms = terms;
+    public Member(
+            MemberConfig config,
+            ClusterEnvironment ground,
+            StableStorage shelf,
+            long seed,
+            PieceHandler duty,
+            Set<InjectedFault> plants)
+            throws MalformedMessageException {
+        this.config = config;
         this.ground = ground;
         this.duty = duty;
         this.plants = plants;
-        boot = terms.boot();
-        seats = terms.voters();
-        register = new Register(Arrays.stream(Register.Flaw.values())
+        boot = config.boot();
+        seats = config.voters();
+        register = new Register(Arrays.stream(Register.Defect.values())
                 .filter(flaw -> plants.stream().anyMatch(plant -> plant.name().equals(flaw.name())))
                 .collect(Collectors.toSet()));
-        if (terms.votes() || shelf != null) {
-            if (plants.contains(Plant.FORGOTTEN_VOTES)) {
-                Voter.plantFounded(shelf);
+        if (config.votes() || shelf != null) {
+            if (plants.contains(InjectedFault.FORGOTTEN_VOTES)) {
+                Voter.injectFounded(shelf);
             }
             voter = new Voter(
-                    terms.cluster(),
-                    terms.node(),
-                    terms.voters(),
-                    terms.beat(),
+                    config.cluster(),
+                    config.node(),
+                    config.voters(),
+                    config.heartbeatMs(),
                     seed,
                     ground,
                     shelf,
                     (to, message) -> send(to, LeaderService.message("raft").set("raft", message)),
                     register,
                     now -> this.leads(now));
-            leaderService = new LeaderService(terms, ground, voter, register, this::send);
+            leaderService = new LeaderService(config, ground, voter, register, this::send);
         } else {
             voter = null;
             leaderService = null;
@@ -215,14 +222,14 @@
     }
 
     private boolean inLease() {
-        return ground.millis() < leaseUntil || plants.contains(Plant.OWNER_THAT_DOES_NOT_CHECK);
+        return ground.millis() < leaseUntil || plants.contains(InjectedFault.OWNER_THAT_DOES_NOT_CHECK);
     }
 
     /**
      * Since when, by the ground's clock, this node has had no word of a leader with a quorum; -1 where it
      * has.
      */
-    public long aloneSince() {
+    public long withoutLeaderSince() {
         return ground.millis() < leaseUntil ? -1 : alone;
     }
 
@@ -241,7 +248,7 @@
     }
 
     /** The log's entry as of which this node last heard what it owns; -1 where it has not. */
-    public long asOf() {
+    public long viewIndex() {
         return asOf;
     }
 
@@ -251,8 +258,10 @@
     }
 
     /** Whether this node votes and takes part, or why not; null where it does not vote. */
-    public String voting() {
-        return voter == null ? null : voter.broken() != null ? voter.broken() : voter.leading() ? "leads" : "votes";
+    public String voterStatus() {
+        return voter == null
+                ? null
+                : voter.inactiveReason() != null ? voter.inactiveReason() : voter.isLeader() ? "leads" : "votes";
     }
 
     /** Messages that were not taken, by reason. */
@@ -263,23 +272,23 @@
     // ---- what this node asks ----
 
     /** Puts one node in another's place among the voters, or one that lost its disk in its own. */
-    public void replace(String leaving, String coming, long wait, Consumer<Register.Answer> then) {
+    public void replace(String leaving, String coming, long wait, Consumer<Register.CommandResult> then) {
         ask(new Entry.Replace(leaving, coming), then, wait);
     }
 
     /** Asks to be out of service while fewer than {@code most} others are; forced, it is out anyway. */
-    public void permit(int most, boolean forced, long wait, Consumer<Register.Answer> then) {
-        ask(new Entry.Permit(terms.node(), most, forced), then, wait);
+    public void permit(int most, boolean forced, long wait, Consumer<Register.CommandResult> then) {
+        ask(new Entry.Permit(config.node(), most, forced), then, wait);
     }
 
     /** A node is back in service, or is not to be waited for. */
-    public void release(String node, long wait, Consumer<Register.Answer> then) {
+    public void release(String node, long wait, Consumer<Register.CommandResult> then) {
         ask(new Entry.Release(node), then, wait);
     }
 
     /** What this voter says of itself, for whoever looks for a fault. */
-    public String report() {
-        return "asking " + asking.size() + " " + (voter == null ? "" : voter.report());
+    public String diagnostics() {
+        return "asking " + asking.size() + " " + (voter == null ? "" : voter.diagnostics());
     }
 
     /** The voters, by the names that they vote under, and whether each votes yet; as this voter knows. */
@@ -288,10 +297,10 @@
     }
 
     /** It is to own nothing new, and hands over what it has; or no longer so. */
-    public void leaves(boolean so) {
+    public void setLeaving(boolean so) {
         leaves = so;
         if (life > 0) {
-            ask(new Entry.Leave(terms.node(), life, so), answer -> {}, terms.lease());
+            ask(new Entry.Leave(config.node(), life, so), answer -> {}, config.leaseMs());
         }
     }
 
@@ -304,16 +313,16 @@
         leaseUntil = Long.MIN_VALUE / 2;
         lose();
         spend();
-        ask(new Entry.Close(terms.node(), its, "left"), answer -> then.run(), terms.lease());
+        ask(new Entry.Close(config.node(), its, "left"), answer -> then.run(), config.leaseMs());
     }
 
     /** The node's side of the budgets; to be told before the member starts. */
-    public void spender(Spender its) {
+    public void setSpender(Spender its) {
         spender = its;
     }
 
     /** How the spender sees this member. */
-    public Spender.Link spends() {
+    public Spender.Link budgetLink() {
         return new Spender.Link() {
             @Override
             public long life() {
@@ -322,15 +331,15 @@
 
             @Override
             public long leaseUntil() {
-                return plants.contains(Plant.PART_KEPT) ? Long.MAX_VALUE / 2 : leaseUntil;
+                return plants.contains(InjectedFault.PART_KEPT) ? Long.MAX_VALUE / 2 : leaseUntil;
             }
 
             @Override
             public void say(String budget, int wants, int keeps, long turn, IntConsumer then) {
                 ask(
-                        new Entry.RequestBudget(terms.node(), life, budget, wants, keeps, turn),
-                        answer -> then.accept(answer == null || !answer.done() ? -1 : (int) answer.number()),
-                        terms.lease());
+                        new Entry.RequestBudget(config.node(), life, budget, wants, keeps, turn),
+                        answer -> then.accept(answer == null || !answer.accepted() ? -1 : (int) answer.value()),
+                        config.leaseMs());
             }
         };
     }
@@ -345,33 +354,38 @@
      * Wants a piece at a node, or at nobody in particular; the answer comes within so many milliseconds, or
      * null.
      */
-    public void transfer(String piece, String to, long wait, Consumer<Register.Answer> then) {
+    public void transfer(String piece, String to, long wait, Consumer<Register.CommandResult> then) {
         ask(new Entry.Transfer(piece, to), then, wait);
     }
 
     /**
-     * Claims an act. The answer comes once, within the lease, never from within this call. YES is given only
+     * Claims an act. The answer comes once, within the lease, never from within this call. GRANTED is given only
      * for a claim that the log has under this node's epoch.
      *
      * @param again an act of unknown end is to be done once more, where that does no harm
      */
-    public void claim(String piece, long act, boolean again, Consumer<Claimed> then) {
+    public void claim(String piece, long act, boolean again, Consumer<ClaimResult> then) {
         long epoch = epoch(piece);
-        if (epoch == 0 || held.get(piece).leaving || plants.contains(Plant.CLAIM_SKIPPED)) {
+        if (epoch == 0 || held.get(piece).leaving || plants.contains(InjectedFault.CLAIM_SKIPPED)) {
             ground.after(
                     0,
-                    () -> then.accept(epoch > 0 && plants.contains(Plant.CLAIM_SKIPPED) ? Claimed.YES : Claimed.LATER));
+                    () -> then.accept(
+                            epoch > 0 && plants.contains(InjectedFault.CLAIM_SKIPPED)
+                                    ? ClaimResult.GRANTED
+                                    : ClaimResult.RETRY));
             return;
         }
         ask(
                 new Entry.Claim(piece, epoch, act, again),
                 answer -> then.accept(
                         answer == null
-                                ? Claimed.UNKNOWN
-                                : answer.done()
-                                        ? Claimed.YES
-                                        : answer.why().equals(Register.CLAIMED) ? Claimed.NO : Claimed.LATER),
-                Math.max(terms.beat(), leaseUntil - ground.millis()));
+                                ? ClaimResult.UNKNOWN
+                                : answer.accepted()
+                                        ? ClaimResult.GRANTED
+                                        : answer.reason().equals(Register.ALREADY_CLAIMED)
+                                                ? ClaimResult.REFUSED
+                                                : ClaimResult.RETRY),
+                Math.max(config.heartbeatMs(), leaseUntil - ground.millis()));
     }
 
     /**
@@ -383,14 +397,14 @@
                 new Entry.Done(piece, epoch, act),
                 answer -> {
                     if (answer == null && !stopped) {
-                        ground.after(terms.beat(), () -> done(piece, epoch, act));
+                        ground.after(config.heartbeatMs(), () -> done(piece, epoch, act));
                     }
                 },
-                terms.lease());
+                config.leaseMs());
     }
 
     /** @param then the answer, or null where none came for so long */
-    private void ask(Entry entry, Consumer<Register.Answer> then, long wait) {
+    private void ask(Entry entry, Consumer<Register.CommandResult> then, long wait) {
         if (asking.size() >= ASKING) {
             drop("questions beyond " + ASKING);
             ground.after(0, () -> then.accept(null));
@@ -412,9 +426,9 @@
         }
         sendToLeader(LeaderService.message("ask")
                 .put("id", id)
-                .put("process", terms.process())
+                .put("process", config.process())
                 .put("entry", Register.text(question.entry)));
-        ground.after(Math.max(1, Math.min(2 * terms.beat(), question.until - ground.millis())), () -> {
+        ground.after(Math.max(1, Math.min(2 * config.heartbeatMs(), question.until - ground.millis())), () -> {
             if (asking.containsKey(id)) {
                 leaderUnheard();
                 ask(id);
@@ -436,10 +450,10 @@
         } else {
             sendToLeader(LeaderService.message("renew").put("life", life).put("at", ground.millis()));
         }
-        if (ground.millis() >= leaseUntil - terms.lease() / 2) {
+        if (ground.millis() >= leaseUntil - config.leaseMs() / 2) {
             leaderUnheard();
         }
-        ground.after(Math.max(1, terms.lease() / RENEWALS), this::renewal);
+        ground.after(Math.max(1, config.leaseMs() / RENEWALS), this::renewal);
     }
 
     private void join() {
@@ -448,25 +462,25 @@
         }
         joining = true;
         ask(
-                new Entry.Open(terms.node(), terms.process(), boot, terms.build(), terms.pieces(), Entry.FORMAT),
+                new Entry.Open(config.node(), config.process(), boot, config.build(), config.pieces(), Entry.FORMAT),
                 answer -> {
                     joining = false;
-                    if (answer != null && answer.why().equals(Register.OLDER)) {
+                    if (answer != null && answer.reason().equals(Register.NEWER_PROCESS_KNOWN)) {
                         // Danger: two processes of one name would take it from each other for ever. One that had a
                         // life gives way; one that is new and was started by a clock that went back goes on.
                         replaced = lived;
-                        boot = answer.number() + 1;
-                    } else if (answer != null && answer.done()) {
+                        boot = answer.value() + 1;
+                    } else if (answer != null && answer.accepted()) {
                         lived = true;
-                        life = answer.number();
+                        life = answer.value();
                         if (leaves) {
-                            leaves(true);
+                            setLeaving(true);
                         }
                         sendToLeader(
                                 LeaderService.message("renew").put("life", life).put("at", ground.millis()));
                     }
                 },
-                terms.lease());
+                config.leaseMs());
     }
 
     /**
@@ -483,7 +497,7 @@
 
     private void yieldOnce(String piece, long epoch) {
         if (yielding.add(piece)) {
-            ask(new Entry.Yield(piece, epoch), answer -> yielding.remove(piece), terms.lease());
+            ask(new Entry.Yield(piece, epoch), answer -> yielding.remove(piece), config.leaseMs());
         }
     }
 
@@ -513,9 +527,9 @@
         }
         if (at >= 0 && at <= ground.millis()) {
             // Danger: counted from the asking, so that it ends here before the leader's patience does there.
-            long until = plants.contains(Plant.LEASE_WITHOUT_MARGIN)
-                    ? ground.millis() + 3 * terms.lease()
-                    : at + (long) (terms.lease() * (1 - terms.drift()));
+            long until = plants.contains(InjectedFault.LEASE_WITHOUT_MARGIN)
+                    ? ground.millis() + 3 * config.leaseMs()
+                    : at + (long) (config.leaseMs() * (1 - config.clockDrift()));
             leaseUntil = Math.max(leaseUntil, until);
             alone = Math.max(alone, leaseUntil);
         }
@@ -531,14 +545,14 @@
     private void members(JsonNode view) {
         Set<String> members = new TreeSet<>();
         view.path("members").forEach(one -> members.add(one.asText()));
-        Set<String> nodes = new LinkedHashSet<>(terms.voters());
+        Set<String> nodes = new LinkedHashSet<>(config.voters());
         members.stream().limit(SEATS).forEach(one -> nodes.add(Voter.node(one)));
         if (!seats.equals(List.copyOf(nodes))) {
             seats = List.copyOf(nodes);
             leaderAt = 0;
         }
         if (voter != null) {
-            voter.told(members, view.path("members_since").asLong());
+            voter.updateMembers(members, view.path("members_since").asLong());
         }
     }
 
@@ -605,9 +619,9 @@
                 ? voter.leader()
                 : leader != null ? leader : seats.get(leaderAt);
         String other = seats.get((leaderAt + 1 + ways++ % seats.size()) % seats.size());
-        if (!plants.contains(Plant.NO_DETOUR)
-                && ground.millis() >= leaseUntil - terms.lease() / 2
-                && !other.equals(terms.node())
+        if (!plants.contains(InjectedFault.NO_DETOUR)
+                && ground.millis() >= leaseUntil - config.leaseMs() / 2
+                && !other.equals(config.node())
                 && !other.equals(to)) {
             by(other, LEADER, message.deepCopy());
         }
@@ -621,16 +635,16 @@
     }
 
     private ObjectNode sign(ObjectNode message) {
-        return message.put("cluster", terms.cluster()).put("from", terms.node());
+        return message.put("cluster", config.cluster()).put("from", config.node());
     }
 
     private void send(String to, ObjectNode message) {
         sign(message);
         byte[] bytes = message.toString().getBytes(StandardCharsets.UTF_8);
-        if (bytes.length > MOST) {
+        if (bytes.length > MAX_MESSAGE_BYTES) {
             drop("too long to send: " + message.path("kind").asText());
-        } else if (to.equals(terms.node())) {
-            ground.after(0, () -> heard(bytes));
+        } else if (to.equals(config.node())) {
+            ground.after(0, () -> receive(bytes));
         } else {
             ground.send(to, bytes);
         }
@@ -642,7 +656,7 @@
     }
 
     /** A message came in, from whomever. Gives the name that it comes under; null where it was not taken. */
-    public String heard(byte[] bytes) {
+    public String receive(byte[] bytes) {
         if (stopped) {
             return null;
         }
@@ -650,7 +664,7 @@
             JsonNode message = JSON.readTree(bytes);
             if (message == null || !message.isObject()) {
                 drop("no JSON object");
-            } else if (!message.path("cluster").asText().equals(terms.cluster())) {
+            } else if (!message.path("cluster").asText().equals(config.cluster())) {
                 drop("another cluster's");
             } else {
                 String from = message.path("from").asText();
@@ -659,7 +673,7 @@
             }
         } catch (JsonProcessingException e) {
             drop("no JSON");
-        } catch (IOException | BadMessage e) {
+        } catch (IOException | MalformedMessageException e) {
             drop(e.getMessage());
         }
         return null;
@@ -667,30 +681,30 @@
 
     /** @param back the way that an answer goes */
     private void heard(String from, JsonNode message, BiConsumer<String, ObjectNode> back)
-            throws BadMessage, IOException {
+            throws MalformedMessageException, IOException {
         String kind = message.path("kind").asText();
         switch (kind) {
             case "raft" -> {
                 if (voter == null) {
-                    throw new BadMessage("raft: this node does not vote");
+                    throw new MalformedMessageException("raft: this node does not vote");
                 }
-                voter.heard(from, message.path("raft"));
+                voter.receive(from, message.path("raft"));
             }
             case "ask", "renew" -> serve(from, kind, message, back);
             case "by" -> passOn(from, message.path("to").asText(), message.path("message"));
             case "seat" -> {
                 if (voter == null) {
-                    throw new BadMessage("seat: this node has no store to vote with");
+                    throw new MalformedMessageException("seat: this node has no store to vote with");
                 }
-                voter.seated(message.path("seat"));
+                voter.acceptAssignment(message.path("seat"));
             }
             case "told" -> {
                 // Danger: an answer to the process before this one would pass for an answer to this one.
-                Question question = message.path("process").asText().equals(terms.process())
+                Question question = message.path("process").asText().equals(config.process())
                         ? asking.remove(message.path("id").asLong())
                         : null;
                 if (question != null) {
-                    question.then.accept(new Register.Answer(
+                    question.then.accept(new Register.CommandResult(
                             message.path("done").asBoolean(),
                             message.path("why").asText(),
                             message.path("number").asLong()));
@@ -702,9 +716,9 @@
             }
             case "where" -> {
                 String named = message.path("leader").asText("");
-                leader = named.isEmpty() || named.equals(terms.node()) ? null : named;
+                leader = named.isEmpty() || named.equals(config.node()) ? null : named;
             }
-            default -> throw new BadMessage("kind: '" + kind + "' is none of this build's");
+            default -> throw new MalformedMessageException("kind: '" + kind + "' is none of this build's");
         }
     }
 
@@ -712,17 +726,17 @@
      * What another member can't send straight. Danger: passed on as it is, it could go round for ever; one
      * that came by another is for this node, and its answer goes the way it came.
      */
-    private void passOn(String way, String to, JsonNode message) throws BadMessage, IOException {
+    private void passOn(String way, String to, JsonNode message) throws MalformedMessageException, IOException {
         if (!(message instanceof ObjectNode inner)
                 || inner.path("kind").asText().equals("by")
-                || !inner.path("cluster").asText().equals(terms.cluster())) {
-            throw new BadMessage("by: holds no message of this cluster");
+                || !inner.path("cluster").asText().equals(config.cluster())) {
+            throw new MalformedMessageException("by: holds no message of this cluster");
         }
         // Danger: who can't reach the leader may not know any more who it is; whoever is on the way does.
-        String its = !to.equals(LEADER) ? to : voter != null && voter.leading() ? terms.node() : leader();
+        String its = !to.equals(LEADER) ? to : voter != null && voter.isLeader() ? config.node() : leader();
         if (its == null) {
             drop("by: no leader is known here");
-        } else if (its.equals(terms.node())) {
+        } else if (its.equals(config.node())) {
             heard(inner.path("from").asText(), inner, (from, answer) -> {
                 by(way, from, answer.deepCopy());
                 send(from, answer);
@@ -733,8 +747,8 @@
     }
 
     private void serve(String from, String kind, JsonNode message, BiConsumer<String, ObjectNode> back)
-            throws BadMessage {
-        if (voter == null || !voter.leading()) {
+            throws MalformedMessageException {
+        if (voter == null || !voter.isLeader()) {
             back.accept(from, LeaderService.message("where").put("leader", leader()));
         } else if (kind.equals("renew")) {
             leaderService.renew(
@@ -751,7 +765,7 @@
                         message.path("id").asLong(),
                         Register.entry(message.path("entry").asText()));
             } catch (JsonProcessingException e) {
-                throw new BadMessage("entry: is none of this build's");
+                throw new MalformedMessageException("entry: is none of this build's");
             }
         }
     }
--- a/src/main/java/gorserill/cluster/member/Terms.java
+++ b/src/main/java/gorserill/cluster/member/MemberConfig.java
@@ -12,11 +12,11 @@
  * @param build of the program
  * @param voters the nodes that keep the log: 3 or 5, or 1 to try things out
  * @param pieces of work that this node can own
- * @param beat milliseconds between a leader's signs to the other voters
- * @param lease milliseconds that a node may go on as owner without a word of the leader's
- * @param drift parts of a second by which two clocks may part in a second; beliefs, not acts, rest on it
+ * @param heartbeatMs milliseconds between a leader's signs to the other voters
+ * @param leaseMs milliseconds that a node may go on as owner without a word of the leader's
+ * @param clockDrift parts of a second by which two clocks may part in a second; beliefs, not acts, rest on it
  */
-public record Terms(
+public record MemberConfig(
         String cluster,
         String node,
         String process,
@@ -24,16 +24,16 @@
         String build,
         List<String> voters,
         List<String> pieces,
-        long beat,
-        long lease,
-        double drift) {
+        long heartbeatMs,
+        long leaseMs,
+        double clockDrift) {
     /** Whether this node keeps the log. */
     public boolean votes() {
         return voters.contains(node);
     }
 
     /** How long a leader waits for a word of a node before its life is over: longer than the node's lease. */
-    public long patience() {
-        return (long) (lease * (1 + 2 * drift)) + beat;
+    public long failureTimeoutMs() {
+        return (long) (leaseMs * (1 + 2 * clockDrift)) + heartbeatMs;
     }
 }
--- a/src/main/java/gorserill/cluster/member/OpenQuestions.java
+++ b/src/main/java/gorserill/cluster/member/PendingRequests.java
@@ -12,17 +12,17 @@
  * entry. Danger: put into the log again each time, questions that are asked again because the log is slow
  * would make it slower, until nothing else passes.
  */
-final class OpenQuestions {
+final class PendingRequests {
     /** Ways by which one question is answered: straight, and by others that passed it on. */
     private static final int WAYS = 4;
 
     private record Question(String process, long id) {}
 
-    private final Map<Question, List<Consumer<Register.Answer>>> open = new HashMap<>();
+    private final Map<Question, List<Consumer<Register.CommandResult>>> open = new HashMap<>();
 
     /** A question came, to be answered this way; gives whether it is the first, whose entry is to be made. */
-    boolean came(String process, long id, Consumer<Register.Answer> way) {
-        List<Consumer<Register.Answer>> ways =
+    boolean add(String process, long id, Consumer<Register.CommandResult> way) {
+        List<Consumer<Register.CommandResult>> ways =
                 open.computeIfAbsent(new Question(process, id), question -> new ArrayList<>());
         if (ways.size() < WAYS) {
             ways.add(way);
@@ -31,8 +31,8 @@
     }
 
     /** @param answer null where none is known; the question is answered when it is asked again */
-    void answered(String process, long id, Register.Answer answer) {
-        List<Consumer<Register.Answer>> ways = open.remove(new Question(process, id));
+    void complete(String process, long id, Register.CommandResult answer) {
+        List<Consumer<Register.CommandResult>> ways = open.remove(new Question(process, id));
         if (ways != null && answer != null) {
             ways.forEach(way -> way.accept(answer));
         }
--- a/src/main/java/gorserill/cluster/member/Duty.java
+++ b/src/main/java/gorserill/cluster/member/PieceHandler.java
@@ -4,10 +4,10 @@
 import java.util.SortedSet;
 
 /** What is done with a piece that this node owns; called on the member's thread. */
-public interface Duty {
+public interface PieceHandler {
     /** The duty of each piece by its name. */
-    static Duty of(Map<String, Duty> byPiece) {
-        return new Duty() {
+    static PieceHandler of(Map<String, PieceHandler> byPiece) {
+        return new PieceHandler() {
             @Override
             public void owns(String piece, long epoch, long last, SortedSet<Long> unknown) {
                 byPiece.get(piece).owns(piece, epoch, last, unknown);
--- a/src/main/java/gorserill/cluster/ownership/Entry.java
+++ b/src/main/java/gorserill/cluster/ownership/Entry.java
@@ -18,7 +18,7 @@
     @JsonSubTypes.Type(value = Entry.Release.class, name = "release"),
     @JsonSubTypes.Type(value = Entry.RequestBudget.class, name = "say"),
     @JsonSubTypes.Type(value = Entry.RequestBudgets.class, name = "say_all"),
-    @JsonSubTypes.Type(value = Entry.Bury.class, name = "bury"),
+    @JsonSubTypes.Type(value = Entry.ReclaimShare.class, name = "bury"),
     @JsonSubTypes.Type(value = Entry.Claim.class, name = "claim"),
     @JsonSubTypes.Type(value = Entry.Done.class, name = "done")
 })
@@ -32,7 +32,7 @@
     }
 
     /** A kind of entry of the second format. */
-    sealed interface Second extends Entry permits Replace, Replaced, Permit, Release, RequestBudget, Bury {
+    sealed interface FormatTwo extends Entry permits Replace, Replaced, Permit, Release, RequestBudget, ReclaimShare {
         @Override
         default int format() {
             return 2;
@@ -63,24 +63,24 @@
     record Transfer(String piece, String to) implements Entry {}
 
     /** An operator wants one node to vote in another's place; both may be one, whose disk is lost. */
-    record Replace(String leaving, String coming) implements Second {}
+    record Replace(String leaving, String coming) implements FormatTwo {}
 
     /** That was done; the number is the entry's that asked for it. */
-    record Replaced(long entry) implements Second {}
+    record Replaced(long entry) implements FormatTwo {}
 
     /**
      * A node asks to be out of service, while so many others may be.
      *
      * @param forced it is out, whatever the answer: others have to wait
      */
-    record Permit(String node, int most, boolean forced) implements Second {}
+    record Permit(String node, int most, boolean forced) implements FormatTwo {}
 
     /**
      * A node says what it wants of a budget and what it keeps, in thousandths.
      *
      * @param turn rises from word to word of a life
      */
-    record RequestBudget(String node, long life, String budget, int wants, int keeps, long turn) implements Second {}
+    record RequestBudget(String node, long life, String budget, int wants, int keeps, long turn) implements FormatTwo {}
 
     /**
      * What several nodes say, in this order: the leader puts it into the log as one entry, so that their
@@ -99,10 +99,10 @@
     }
 
     /** What a life that was replaced had of the budgets may go to others. */
-    record Bury(String ghost) implements Second {}
+    record ReclaimShare(String ghost) implements FormatTwo {}
 
     /** A node is back in service, or is not to be waited for. */
-    record Release(String node) implements Second {}
+    record Release(String node) implements FormatTwo {}
 
     /**
      * An owner is about to do an act. Acts of a piece have rising numbers.
--- a/src/main/java/gorserill/cluster/ownership/Register.java
+++ b/src/main/java/gorserill/cluster/ownership/Register.java
@@ -28,42 +28,42 @@
  * its end is told, and is never given to another as if it were new.
  * </ul>
  */
-public final class Register implements Voter.Book {
+public final class Register implements Voter.ReplicatedState {
     /**
      * Acts of a piece that are claimed and not done, at the most. Danger: unbounded, a stuck owner fills it.
      */
-    public static final int OPEN_ACTS = 32;
+    public static final int MAX_OPEN_ACTS = 32;
 
     private static final int PIECES = 1_000;
     private static final int NAMES = 1_000;
     /** Why an act may not be claimed: it was before. */
-    public static final String CLAIMED = "that act was claimed";
+    public static final String ALREADY_CLAIMED = "that act was claimed";
     /** Why a life is over whose node said nothing for longer than its lease. */
-    public static final String UNHEARD = "not heard";
+    public static final String NOT_HEARD = "not heard";
     /** Why a life is over whose node came back as another process. */
     public static final String REPLACED = "replaced";
     /** Why a node is out of service that asked first. */
-    public static final String PERMITTED = "permit";
+    public static final String WITH_PERMIT = "permit";
     /** Why a process may not open a life: there is a newer one of its name. */
-    public static final String OLDER = "a newer process of that name";
+    public static final String NEWER_PROCESS_KNOWN = "a newer process of that name";
     /** Danger: a later build's fields must not keep this one from reading what it knows. */
     private static final ObjectMapper JSON = new ObjectMapper()
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
             .setVisibility(PropertyAccessor.FIELD, JsonAutoDetect.Visibility.ANY);
 
     /** What an entry's author is told. */
-    public record Answer(boolean done, String why, long number) {
-        static Answer yes(long number) {
-            return new Answer(true, "", number);
+    public record CommandResult(boolean accepted, String reason, long value) {
+        static CommandResult accepted(long number) {
+            return new CommandResult(true, "", number);
         }
 
-        static Answer no(String why) {
-            return new Answer(false, why, 0);
+        static CommandResult refused(String why) {
+            return new CommandResult(false, why, 0);
         }
     }
 
     /** What the authors of an entry of several are told, in its order. */
-    public record Answers(List<Answer> each) {}
+    public record CommandResults(List<CommandResult> results) {}
 
     /** A node's present life. */
     public static final class Node {
@@ -91,16 +91,16 @@
     }
 
     /** The newest process of a name, alive or not. */
-    public static final class Newest {
+    public static final class LatestProcess {
         public String process;
         public long boot;
     }
 
     private static final class State {
-        public TreeMap<String, Newest> newest = new TreeMap<>();
+        public TreeMap<String, LatestProcess> newest = new TreeMap<>();
         public TreeMap<String, Node> nodes = new TreeMap<>();
         public TreeMap<String, Piece> pieces = new TreeMap<>();
-        public Replacing replacing;
+        public VoterReplacement replacing;
         public TreeMap<String, String> out = new TreeMap<>();
         /** The newest format of any entry so far. */
         public int format = 1;
@@ -109,7 +109,7 @@
     }
 
     /** One node is being put in another's place among the voters, as this entry of the log says. */
-    public static final class Replacing {
+    public static final class VoterReplacement {
         public String leaving;
         public String coming;
         public long entry;
@@ -117,7 +117,7 @@
 
     private State state = new State();
     /** Faults that can be planted, so that checks are seen to find them. */
-    public enum Flaw {
+    public enum Defect {
         /** A new owner goes on under the epoch of the one before. */
         EPOCH_NOT_KEPT,
         /** Permits are given whoever is out. */
@@ -126,9 +126,9 @@
         PARTS_OVER
     }
 
-    private final Set<Flaw> flaws;
+    private final Set<Defect> flaws;
 
-    public Register(Set<Flaw> flaws) {
+    public Register(Set<Defect> flaws) {
         this.flaws = flaws;
     }
 
@@ -149,17 +149,17 @@
     }
 
     /** What is under way among the voters; null for nothing. */
-    public Replacing replacing() {
+    public VoterReplacement replacing() {
         return state.replacing;
     }
 
     /** Who has which part of the budgets. */
-    public BudgetShares parts() {
+    public BudgetShares budgetShares() {
         return state.parts;
     }
 
     /** The nodes that are out of service, and why: by permit, or gone unheard. */
-    public Map<String, String> out() {
+    public Map<String, String> outOfService() {
         return state.out;
     }
 
@@ -184,7 +184,7 @@
             entry = entry(text);
         } catch (JsonProcessingException e) {
             // An entry of a later build: every voter of this build leaves it out alike.
-            return Answer.no("no entry of this build");
+            return CommandResult.refused("no entry of this build");
         }
         state.format = Math.max(state.format, entry.format());
         if (entry instanceof Entry.Open open) {
@@ -194,11 +194,11 @@
         } else if (entry instanceof Entry.Leave leave) {
             Node node = state.nodes.get(leave.node());
             if (node == null || node.life != leave.life()) {
-                return Answer.no("that life is over");
+                return CommandResult.refused("that life is over");
             }
             node.leaves = leave.leaves();
             assign();
-            return Answer.yes(index);
+            return CommandResult.accepted(index);
         } else if (entry instanceof Entry.Yield yield) {
             return letGo(yield);
         } else if (entry instanceof Entry.Transfer transfer) {
@@ -210,33 +210,38 @@
         } else if (entry instanceof Entry.Replaced replaced) {
             boolean its = state.replacing != null && state.replacing.entry == replaced.entry();
             state.replacing = its ? null : state.replacing;
-            return its ? Answer.yes(replaced.entry()) : Answer.no("that is not under way");
+            return its ? CommandResult.accepted(replaced.entry()) : CommandResult.refused("that is not under way");
         } else if (entry instanceof Entry.Permit permit) {
             return permit(permit);
         } else if (entry instanceof Entry.RequestBudget request) {
             return requestBudget(request);
         } else if (entry instanceof Entry.RequestBudgets all) {
-            return new Answers(all.each().stream().map(this::requestBudget).toList());
-        } else if (entry instanceof Entry.Bury bury) {
-            return state.parts.bury(bury.ghost()) ? Answer.yes(index) : Answer.no("it is buried");
+            return new CommandResults(
+                    all.each().stream().map(this::requestBudget).toList());
+        } else if (entry instanceof Entry.ReclaimShare bury) {
+            return state.parts.bury(bury.ghost())
+                    ? CommandResult.accepted(index)
+                    : CommandResult.refused("it is buried");
         } else if (entry instanceof Entry.Release release) {
-            return state.out.remove(release.node()) != null ? Answer.yes(0) : Answer.no("it is not out");
+            return state.out.remove(release.node()) != null
+                    ? CommandResult.accepted(0)
+                    : CommandResult.refused("it is not out");
         }
         return done((Entry.Done) entry);
     }
 
-    private Answer open(long index, Entry.Open open) {
+    private CommandResult open(long index, Entry.Open open) {
         if (Math.max(1, open.format()) < state.format) {
-            return Answer.no("the cluster has gone on to what a later build knows");
+            return CommandResult.refused("the cluster has gone on to what a later build knows");
         }
-        Newest newest = state.newest.get(open.node());
+        LatestProcess newest = state.newest.get(open.node());
         boolean same = newest != null && newest.process.equals(open.process());
         if (newest != null && !same && open.boot() <= newest.boot) {
-            return new Answer(false, OLDER, newest.boot);
+            return new CommandResult(false, NEWER_PROCESS_KNOWN, newest.boot);
         }
         Node node = state.nodes.get(open.node());
         if (node != null && same) {
-            return Answer.yes(node.life);
+            return CommandResult.accepted(node.life);
         } else if (node != null) {
             close(open.node(), node.life, REPLACED);
         }
@@ -248,19 +253,19 @@
         fresh.format = open.format();
         fresh.pieces.addAll(open.pieces());
         state.nodes.put(open.node(), fresh);
-        state.out.remove(open.node(), UNHEARD);
+        state.out.remove(open.node(), NOT_HEARD);
         for (String piece : open.pieces()) {
             if (state.pieces.size() < PIECES) {
                 state.pieces.computeIfAbsent(piece, p -> new Piece());
             }
         }
         assign();
-        return Answer.yes(index);
+        return CommandResult.accepted(index);
     }
 
     /** Names that are gone are forgotten one by one when there are too many. */
     private void remember(Entry.Open open) {
-        Newest newest = new Newest();
+        LatestProcess newest = new LatestProcess();
         newest.process = open.process();
         newest.boot = open.boot();
         state.newest.put(open.node(), newest);
@@ -272,15 +277,15 @@
         }
     }
 
-    private Answer close(String name, long life, String why) {
+    private CommandResult close(String name, long life, String why) {
         Node node = state.nodes.get(name);
         if (node == null || node.life != life) {
-            return Answer.no("that life is over");
+            return CommandResult.refused("that life is over");
         }
         state.nodes.remove(name);
         state.parts.over(name, life, why.equals(REPLACED));
-        if (why.equals(UNHEARD) && state.out.size() < NAMES) {
-            state.out.putIfAbsent(name, UNHEARD);
+        if (why.equals(NOT_HEARD) && state.out.size() < NAMES) {
+            state.out.putIfAbsent(name, NOT_HEARD);
         }
         for (Piece piece : state.pieces.values()) {
             if (piece.owner.equals(name)) {
@@ -289,98 +294,98 @@
             }
         }
         assign();
-        return Answer.yes(life);
+        return CommandResult.accepted(life);
     }
 
-    private Answer letGo(Entry.Yield yield) {
+    private CommandResult letGo(Entry.Yield yield) {
         Piece piece = state.pieces.get(yield.piece());
         if (piece == null || piece.epoch != yield.epoch() || piece.owner.isEmpty()) {
-            return Answer.no("that epoch is over");
+            return CommandResult.refused("that epoch is over");
         }
         piece.owner = "";
         assign();
-        return Answer.yes(piece.epoch);
+        return CommandResult.accepted(piece.epoch);
     }
 
-    private Answer transfer(Entry.Transfer transfer) {
+    private CommandResult transfer(Entry.Transfer transfer) {
         Piece piece = state.pieces.get(transfer.piece());
         if (piece == null) {
-            return Answer.no("no piece of that name");
+            return CommandResult.refused("no piece of that name");
         } else if (!transfer.to().isEmpty() && !able(transfer.to(), transfer.piece())) {
-            return Answer.no("no such node that can own it");
+            return CommandResult.refused("no such node that can own it");
         }
         piece.wanted = transfer.to();
         assign();
-        return Answer.yes(piece.epoch);
+        return CommandResult.accepted(piece.epoch);
     }
 
-    private Answer replace(long index, Entry.Replace replace) {
+    private CommandResult replace(long index, Entry.Replace replace) {
         if (!state.nodes.containsKey(replace.coming())) {
-            return Answer.no("no node " + replace.coming() + " is there to vote");
+            return CommandResult.refused("no node " + replace.coming() + " is there to vote");
         }
-        state.replacing = new Replacing();
+        state.replacing = new VoterReplacement();
         state.replacing.leaving = replace.leaving();
         state.replacing.coming = replace.coming();
         state.replacing.entry = index;
-        return Answer.yes(index);
+        return CommandResult.accepted(index);
     }
 
     /** Those that went unheard are out of service, too, until they are back or said to be gone for good. */
-    private Answer permit(Entry.Permit permit) {
+    private CommandResult permit(Entry.Permit permit) {
         List<String> others = state.out.keySet().stream()
                 .filter(n -> !n.equals(permit.node()))
                 .toList();
-        boolean room = others.size() < permit.most() || flaws.contains(Flaw.PERMITS_UNCOUNTED);
+        boolean room = others.size() < permit.most() || flaws.contains(Defect.PERMITS_UNCOUNTED);
         if ((room || permit.forced()) && (others.size() < NAMES || state.out.containsKey(permit.node()))) {
-            state.out.put(permit.node(), room ? PERMITTED : "without permit");
+            state.out.put(permit.node(), room ? WITH_PERMIT : "without permit");
         }
         return room
-                ? Answer.yes(others.size() + 1)
-                : Answer.no("out of service already: "
+                ? CommandResult.accepted(others.size() + 1)
+                : CommandResult.refused("out of service already: "
                         + String.join(" ", others.subList(0, Math.min(9, others.size()))));
     }
 
-    private Answer claim(Entry.Claim claim) {
+    private CommandResult claim(Entry.Claim claim) {
         Piece piece = state.pieces.get(claim.piece());
         if (piece == null || piece.epoch != claim.epoch() || piece.owner.isEmpty()) {
-            return Answer.no("that epoch is over");
+            return CommandResult.refused("that epoch is over");
         } else if (Long.valueOf(claim.epoch()).equals(piece.open.get(claim.act()))) {
             // The owner asks again, since it did not hear the answer.
-            return Answer.yes(claim.act());
+            return CommandResult.accepted(claim.act());
         } else if (claim.again() && piece.unknown.remove(claim.act())) {
             piece.open.put(claim.act(), claim.epoch());
-            return Answer.yes(claim.act());
+            return CommandResult.accepted(claim.act());
         } else if (claim.act() <= piece.last) {
-            return Answer.no(CLAIMED);
-        } else if (piece.open.size() >= OPEN_ACTS) {
-            return Answer.no("too many acts are open");
+            return CommandResult.refused(ALREADY_CLAIMED);
+        } else if (piece.open.size() >= MAX_OPEN_ACTS) {
+            return CommandResult.refused("too many acts are open");
         }
         piece.last = claim.act();
         piece.open.put(claim.act(), claim.epoch());
-        return Answer.yes(claim.act());
+        return CommandResult.accepted(claim.act());
     }
 
-    private Answer requestBudget(Entry.RequestBudget request) {
+    private CommandResult requestBudget(Entry.RequestBudget request) {
         Node node = state.nodes.get(request.node());
         return node == null || node.life != request.life()
-                ? Answer.no("that life is over")
-                : Answer.yes(state.parts.say(
+                ? CommandResult.refused("that life is over")
+                : CommandResult.accepted(state.parts.say(
                         request.node(),
                         request.budget(),
                         request.wants(),
                         request.keeps(),
                         request.turn(),
-                        flaws.contains(Flaw.PARTS_OVER)));
+                        flaws.contains(Defect.PARTS_OVER)));
     }
 
-    private Answer done(Entry.Done done) {
+    private CommandResult done(Entry.Done done) {
         Piece piece = state.pieces.get(done.piece());
         if (piece == null || !Long.valueOf(done.epoch()).equals(piece.open.get(done.act()))) {
-            return Answer.no("that act is not open under that epoch");
+            return CommandResult.refused("that act is not open under that epoch");
         }
         piece.open.remove(done.act());
         piece.unknown.remove(done.act());
-        return Answer.yes(done.act());
+        return CommandResult.accepted(done.act());
     }
 
     // ---- who should own what ----
@@ -391,7 +396,7 @@
     }
 
     /** Who is to own a piece; null where nobody can. */
-    public String heir(String name) {
+    public String preferredOwner(String name) {
         Piece piece = state.pieces.get(name);
         if (piece == null) {
             return null;
@@ -425,10 +430,10 @@
     private void assign() {
         for (Map.Entry<String, Piece> each : state.pieces.entrySet()) {
             Piece piece = each.getValue();
-            String heir = piece.owner.isEmpty() ? heir(each.getKey()) : null;
+            String heir = piece.owner.isEmpty() ? preferredOwner(each.getKey()) : null;
             if (heir != null) {
                 piece.owner = heir;
-                piece.epoch += flaws.contains(Flaw.EPOCH_NOT_KEPT) && piece.epoch > 0 ? 0 : 1;
+                piece.epoch += flaws.contains(Defect.EPOCH_NOT_KEPT) && piece.epoch > 0 ? 0 : 1;
                 // What the one before claimed and did not end is for its successor to know as unknown.
                 piece.unknown.addAll(piece.open.keySet());
             }
--- a/src/main/java/gorserill/cluster/shared/Spender.java
+++ b/src/main/java/gorserill/cluster/shared/Spender.java
@@ -1,7 +1,7 @@
 package gorserill.cluster.shared;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import gorserill.cluster.Ground;
+import gorserill.cluster.ClusterEnvironment;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -55,7 +55,7 @@
         }
     }
 
-    private final Ground ground;
+    private final ClusterEnvironment ground;
     private final Link link;
     private final long beat;
     private final long grace;
@@ -71,7 +71,7 @@
      */
     public Spender(
             List<Budget> budgets,
-            Ground ground,
+            ClusterEnvironment ground,
             Link link,
             long beat,
             long lease,
--- a/src/main/java/gorserill/cluster/standing/Standing.java
+++ b/src/main/java/gorserill/cluster/standing/Standing.java
@@ -1,9 +1,9 @@
 package gorserill.cluster.standing;
 
-import gorserill.cluster.Ground;
-import gorserill.cluster.member.Duty;
+import gorserill.cluster.ClusterEnvironment;
 import gorserill.cluster.member.Member;
-import gorserill.cluster.member.Member.Claimed;
+import gorserill.cluster.member.Member.ClaimResult;
+import gorserill.cluster.member.PieceHandler;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -17,7 +17,7 @@
  * must never run twice it is fired once at the most, of any other once at least and, by its key, once in
  * effect. All of it runs on the member's thread.
  */
-public final class Standing implements Duty {
+public final class Standing implements PieceHandler {
     /** What became of a job that was handed over. */
     public enum End {
         SERVED,
@@ -67,14 +67,14 @@
 
     private final Map<String, StandingJob> jobs = new LinkedHashMap<>();
     private final Map<String, Owned> owned = new HashMap<>();
-    private final Ground ground;
+    private final ClusterEnvironment ground;
     private final LongSupplier unix;
     private final Runner runner;
     private final Teller teller;
     private Member member;
 
     /** @param unix milliseconds of Unix time, for the times alone: no promise rests on it */
-    public Standing(List<StandingJob> all, Ground ground, LongSupplier unix, Runner runner, Teller teller) {
+    public Standing(List<StandingJob> all, ClusterEnvironment ground, LongSupplier unix, Runner runner, Teller teller) {
         all.forEach(job -> jobs.put(job.name(), job));
         this.ground = ground;
         this.unix = unix;
@@ -150,7 +150,7 @@
         its.claiming = true;
         its.open++;
         member.claim(its.job.name(), number, false, answer -> {
-            if (answer == Claimed.UNKNOWN || answer == Claimed.LATER) {
+            if (answer == ClaimResult.UNKNOWN || answer == ClaimResult.RETRY) {
                 // Danger: given up, it would count as dealt with once a later one is claimed.
                 retry(its, number, answer, () -> claim(its, number));
                 return;
@@ -166,7 +166,7 @@
     private void again(Owned its, long number) {
         its.open++;
         member.claim(its.job.name(), number, true, answer -> {
-            if (answer == Claimed.UNKNOWN || answer == Claimed.LATER) {
+            if (answer == ClaimResult.UNKNOWN || answer == ClaimResult.RETRY) {
                 retry(its, number, answer, () -> again(its, number));
             } else {
                 claimed(its, number, answer, "claimed again");
@@ -175,7 +175,7 @@
     }
 
     /** As long as the piece is this node's under this epoch; after that its next owner sees to it. */
-    private void retry(Owned its, long number, Claimed answer, Runnable what) {
+    private void retry(Owned its, long number, ClaimResult answer, Runnable what) {
         teller.tell(its.job.name(), number, its.epoch, "not claimed: " + answer);
         over(its);
         ground.after(AGAIN_CLAIM, () -> {
@@ -185,8 +185,8 @@
         });
     }
 
-    private void claimed(Owned its, long number, Claimed answer, String how) {
-        if (answer == Claimed.YES) {
+    private void claimed(Owned its, long number, ClaimResult answer, String how) {
+        if (answer == ClaimResult.GRANTED) {
             teller.tell(its.job.name(), number, its.epoch, how);
             run(its, number, 0);
         } else {
--- a/src/main/java/gorserill/program/ClusterConfig.java
+++ b/src/main/java/gorserill/program/ClusterConfig.java
@@ -48,7 +48,7 @@
         int outAtOnce,
         Announced address,
         double rate,
-        Set<Member.Plant> plants) {
+        Set<Member.InjectedFault> plants) {
     /** The piece that is the service address. */
     static final String ADDRESS = "address";
 
@@ -306,14 +306,14 @@
     }
 
     /** Faults for drills; a node that has one says so at its start, loudly. */
-    private static Set<Member.Plant> plants(Path file, Map<String, String> values) throws ConfigException {
-        Set<Member.Plant> plants = EnumSet.noneOf(Member.Plant.class);
+    private static Set<Member.InjectedFault> plants(Path file, Map<String, String> values) throws ConfigException {
+        Set<Member.InjectedFault> plants = EnumSet.noneOf(Member.InjectedFault.class);
         try {
             if (!values.getOrDefault("plant", "").isEmpty()) {
-                plants.add(Member.Plant.valueOf(values.get("plant")));
+                plants.add(Member.InjectedFault.valueOf(values.get("plant")));
             }
         } catch (IllegalArgumentException e) {
-            throw new ConfigException(file + ": plant", "is none of " + EnumSet.allOf(Member.Plant.class));
+            throw new ConfigException(file + ": plant", "is none of " + EnumSet.allOf(Member.InjectedFault.class));
         }
         return plants;
     }
--- a/src/main/java/gorserill/program/ClusterPart.java
+++ b/src/main/java/gorserill/program/ClusterPart.java
@@ -2,13 +2,13 @@
 
 import barrowflow.Dispatcher.Effect;
 import barrowflow.Dispatcher.Settings;
-import gorserill.cluster.BadMessage;
-import gorserill.cluster.Ground;
+import gorserill.cluster.ClusterEnvironment;
+import gorserill.cluster.MalformedMessageException;
 import gorserill.cluster.address.Address;
-import gorserill.cluster.consensus.DiskShelf;
-import gorserill.cluster.member.Duty;
+import gorserill.cluster.consensus.DiskStorage;
 import gorserill.cluster.member.Member;
-import gorserill.cluster.member.Terms;
+import gorserill.cluster.member.MemberConfig;
+import gorserill.cluster.member.PieceHandler;
 import gorserill.cluster.ownership.Register;
 import gorserill.cluster.shared.Door;
 import gorserill.cluster.shared.Retries;
@@ -43,7 +43,7 @@
  * it fires through the core like any front's. Danger: a voter waits for its disk, which must not hold up
  * jobs; so nothing of it runs on the core's loop.
  */
-final class ClusterPart implements Ground {
+final class ClusterPart implements ClusterEnvironment {
     private static final Logger LOG = Logger.getLogger(ClusterPart.class.getName());
     private static final int ADDRESSES = 1_024;
     /** Milliseconds in which staff are to be told. */
@@ -64,7 +64,7 @@
     private final ClusterConfig config;
     private final String node;
     private final DatagramTransport datagrams;
-    private final DiskShelf shelf;
+    private final DiskStorage shelf;
     private final Member member;
     /** Null where none is announced. */
     private final Address address;
@@ -98,19 +98,19 @@
         this.classNames = classNames;
         if (config.store() != null) {
             Files.createDirectories(config.store());
-            shelf = new DiskShelf(
+            shelf = new DiskStorage(
                     config.store().resolve("voter-" + NodeConfig.fileKey(node) + ".mv"), config.storeBytes());
         } else {
             shelf = null;
         }
         Standing standing = new Standing(config.jobs(), this, System::currentTimeMillis, this::run, this::tell);
-        Map<String, Duty> duties = new LinkedHashMap<>();
+        Map<String, PieceHandler> duties = new LinkedHashMap<>();
         standing.names().forEach(name -> duties.put(name, standing));
         address = config.address() == null ? null : address(config.address());
         if (address != null) {
             duties.put(ClusterConfig.ADDRESS, address);
         }
-        Terms terms = new Terms(
+        MemberConfig terms = new MemberConfig(
                 config.cluster(),
                 node,
                 UUID.randomUUID().toString(),
@@ -122,9 +122,9 @@
                 config.lease(),
                 config.drift());
         try {
-            member = new Member(terms, this, shelf, System.nanoTime(), Duty.of(duties), config.plants());
-            datagrams = new DatagramTransport(loop, config.listen(), Member.MOST + 1, this::heard);
-        } catch (BadMessage e) {
+            member = new Member(terms, this, shelf, System.nanoTime(), PieceHandler.of(duties), config.plants());
+            datagrams = new DatagramTransport(loop, config.listen(), Member.MAX_MESSAGE_BYTES + 1, this::heard);
+        } catch (MalformedMessageException e) {
             shelf.close();
             throw new IOException(config.store() + ": the voter's store: " + e.getMessage(), e);
         } catch (IOException e) {
@@ -139,12 +139,12 @@
             spender = new Spender(
                     config.budgets(),
                     this,
-                    member.spends(),
+                    member.budgetLink(),
                     config.lease() / 10,
                     config.lease(),
-                    config.plants().contains(Member.Plant.GIVES_BACK_LATE),
+                    config.plants().contains(Member.InjectedFault.GIVES_BACK_LATE),
                     door::allows);
-            member.spender(spender);
+            member.setSpender(spender);
         } else {
             door = null;
             spender = null;
@@ -194,7 +194,7 @@
 
     /** How the core asks; on its thread. */
     private AdmissionControl entry(Door budgets) {
-        Retries retries = config.retries() == null || config.plants().contains(Member.Plant.RETRIES_UNBOUNDED)
+        Retries retries = config.retries() == null || config.plants().contains(Member.InjectedFault.RETRIES_UNBOUNDED)
                 ? null
                 : new Retries(
                         config.retries().percent() / 100.0, config.retries().saved());
@@ -248,7 +248,7 @@
             return;
         }
         loop.execute(() -> {
-            member.leaves(true);
+            member.setLeaving(true);
             if (config.outAtOnce() > 0) {
                 member.permit(config.outAtOnce(), true, config.lease(), answer -> {});
             }
@@ -302,7 +302,7 @@
                 answer -> coreLoop.execute(() -> then.accept(
                         answer == null
                                 ? "no word of a leader in time, so it may not be out"
-                                : answer.done() ? null : answer.why()))));
+                                : answer.accepted() ? null : answer.reason()))));
     }
 
     /** It is back in service. */
@@ -352,10 +352,10 @@
             to.accept("fail this node does not serve yet, and is no member before it does\n");
             return;
         }
-        Consumer<Register.Answer> told = answer -> back.accept(
+        Consumer<Register.CommandResult> told = answer -> back.accept(
                 answer == null
                         ? "fail no word of a leader in time; it may be done or not, so look\n"
-                        : answer.done() ? "ok\n" : "fail " + answer.why() + "\n");
+                        : answer.accepted() ? "ok\n" : "fail " + answer.reason() + "\n");
         String what = about.isBlank() ? "status" : words[0];
         loop.execute(() -> {
             if (ClusterView.has(what) && words.length == 1) {
@@ -398,7 +398,7 @@
     }
 
     private void heard(InetSocketAddress from, byte[] message) {
-        String name = member.heard(message);
+        String name = member.receive(message);
         if (name != null && !members.containsKey(name) && (learned.size() < ADDRESSES || learned.containsKey(name))) {
             learned.put(name, from);
         }
--- a/src/main/java/gorserill/program/ClusterView.java
+++ b/src/main/java/gorserill/program/ClusterView.java
@@ -25,11 +25,11 @@
 
     /** @param now by the member's clock */
     ClusterView(Member member, String node, long now, Spender spender) {
-        long alone = member.aloneSince();
+        long alone = member.withoutLeaderSince();
         String leader = member.leader();
         row("node", node)
                 .put("life", member.life())
-                .put("voter", member.voting() == null ? "no" : member.voting())
+                .put("voter", member.voterStatus() == null ? "no" : member.voterStatus())
                 .put("leader", leader == null ? "unknown" : leader)
                 .put(
                         "quorum",
@@ -42,9 +42,9 @@
         Register register = member.register();
         // Danger: what a voter has applied may be late; only the leader's is what holds, so each row says
         // whose.
-        String of = "leads".equals(member.voting()) ? null : node;
+        String of = "leads".equals(member.voterStatus()) ? null : node;
         member.voters().forEach((name, votes) -> as(of, row("voter", name).put("votes", votes)));
-        Register.Replacing replacing = register.replacing();
+        Register.VoterReplacement replacing = register.replacing();
         if (replacing != null) {
             as(
                     of,
@@ -69,7 +69,7 @@
                                 .put("open", piece.open.size())
                                 .put("unknown", piece.unknown.size())));
         if (spender != null) {
-            boolean lapsed = now >= member.spends().leaseUntil();
+            boolean lapsed = now >= member.budgetLink().leaseUntil();
             spender.figures()
                     .forEach((name, its) -> row("spends", name)
                             .put("has", its[0])
@@ -79,9 +79,9 @@
                                     "lease",
                                     lapsed
                                             ? "over: its floor alone"
-                                            : "for " + (member.spends().leaseUntil() - now) + " ms"));
+                                            : "for " + (member.budgetLink().leaseUntil() - now) + " ms"));
         }
-        register.parts()
+        register.budgetShares()
                 .parts
                 .forEach((name, its) -> its.forEach((holder, part) -> as(
                         of,
@@ -89,11 +89,11 @@
                                 .put("node", holder)
                                 .put("has", part.has)
                                 .put("wants", part.wants))));
-        register.parts()
+        register.budgetShares()
                 .ghosts
                 .forEach((name, its) -> its.forEach((budget, has) ->
                         as(of, row("ghost", name).put("budget", budget).put("has", has))));
-        register.out().forEach((name, why) -> as(of, row("out", name).put("why", why)));
+        register.outOfService().forEach((name, why) -> as(of, row("out", name).put("why", why)));
         member.dropped()
                 .forEach((why, count) ->
                         row("dropped", why.lines().findFirst().orElse("")).put("count", count));
--- a/src/main/java/gorserill/program/command/DrillCommand.java
+++ b/src/main/java/gorserill/program/command/DrillCommand.java
@@ -145,7 +145,7 @@
         }
         String planted = plant.isEmpty()
                 ? ""
-                : named(Member.Plant.class, "--plant", plant).name();
+                : named(Member.InjectedFault.class, "--plant", plant).name();
         Path folder = report != null ? report : Files.createTempDirectory("gorserill-drill");
         PrintStream out = new PrintStream(System.out, true);
         Drill.Plan plan = new Drill.Plan(piece, nodes, seconds, seed, kinds, planted, folder);
@@ -171,9 +171,9 @@
         if (steps < 1 || steps > 2_000 || depth < 1 || depth > 2) {
             throw wrong("--steps " + steps + " is not from 1 to 2000, or --depth " + depth + " not 1 or 2");
         }
-        Set<Member.Plant> plants = EnumSet.noneOf(Member.Plant.class);
+        Set<Member.InjectedFault> plants = EnumSet.noneOf(Member.InjectedFault.class);
         if (!plant.isEmpty()) {
-            plants.add(named(Member.Plant.class, "--plant", plant));
+            plants.add(named(Member.InjectedFault.class, "--plant", plant));
         }
         Explorer.Found found = Explorer.run(seed, named(Lab.Scene.class, "--scene", scene), 0, steps, depth, plants);
         if (found.violated() != null) {
@@ -200,9 +200,9 @@
         } else {
             faults.forEach(fault -> kinds.add(named(Lab.Fault.class, "--faults", fault)));
         }
-        Set<Member.Plant> plants = EnumSet.noneOf(Member.Plant.class);
+        Set<Member.InjectedFault> plants = EnumSet.noneOf(Member.InjectedFault.class);
         if (!plant.isEmpty()) {
-            plants.add(named(Member.Plant.class, "--plant", plant));
+            plants.add(named(Member.InjectedFault.class, "--plant", plant));
         }
         PrintStream out = System.out;
         Lab.Sum sum = new Lab.Sum();
--- a/src/main/java/gorserill/program/scale/ClusterTerms.java
+++ b/src/main/java/gorserill/program/scale/ClusterTerms.java
@@ -1,6 +1,6 @@
 package gorserill.program.scale;
 
-import gorserill.cluster.member.Terms;
+import gorserill.cluster.member.MemberConfig;
 import gorserill.cluster.shared.Budget;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -51,8 +51,8 @@
     }
 
     /** What a hollow node's member is told. */
-    Terms terms(String node, List<String> voting) {
-        return new Terms(
+    MemberConfig terms(String node, List<String> voting) {
+        return new MemberConfig(
                 NAME,
                 node,
                 UUID.randomUUID().toString(),
--- a/src/main/java/gorserill/program/scale/HollowNode.java
+++ b/src/main/java/gorserill/program/scale/HollowNode.java
@@ -1,9 +1,9 @@
 package gorserill.program.scale;
 
-import gorserill.cluster.BadMessage;
-import gorserill.cluster.Ground;
-import gorserill.cluster.member.Duty;
+import gorserill.cluster.ClusterEnvironment;
+import gorserill.cluster.MalformedMessageException;
 import gorserill.cluster.member.Member;
+import gorserill.cluster.member.PieceHandler;
 import gorserill.cluster.shared.Allowance;
 import gorserill.cluster.shared.Spender;
 import java.io.IOException;
@@ -17,12 +17,12 @@
 import java.util.Set;
 
 /** One hollow node: the cluster's real member and budgets on a real socket, without fronts and jobs. */
-final class HollowNode implements Ground {
+final class HollowNode implements ClusterEnvironment {
     private final int index;
     private final HollowNodes process;
     private final Map<String, InetSocketAddress> voters;
     private final DatagramChannel socket = DatagramChannel.open();
-    private final ByteBuffer buffer = ByteBuffer.allocate(Member.MOST + 1);
+    private final ByteBuffer buffer = ByteBuffer.allocate(Member.MAX_MESSAGE_BYTES + 1);
     private final Member member;
     private final Spender spender;
     private boolean joined;
@@ -44,20 +44,20 @@
                     this,
                     null,
                     index,
-                    Duty.of(Map.of()),
+                    PieceHandler.of(Map.of()),
                     Set.of());
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             throw new IOException(e);
         }
         spender = new Spender(
                 List.of(cluster.budget()),
                 this,
-                member.spends(),
+                member.budgetLink(),
                 ClusterTerms.LEASE / 10,
                 ClusterTerms.LEASE,
                 false,
                 this::spends);
-        member.spender(spender);
+        member.setSpender(spender);
     }
 
     void start() {
@@ -82,7 +82,7 @@
             byte[] message = new byte[buffer.flip().remaining()];
             buffer.get(message);
             process.wentBy(message.length);
-            member.heard(message);
+            member.receive(message);
             if (!joined && member.life() > 0) {
                 joined = true;
                 process.tell(new NodeMessage.Joined(index));
--- a/src/test/java/gorserill/cluster/BadInputTest.java
+++ b/src/test/java/gorserill/cluster/BadInputTest.java
@@ -4,11 +4,11 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import gorserill.cluster.consensus.DiskShelf;
-import gorserill.cluster.consensus.Shelf;
-import gorserill.cluster.member.Duty;
+import gorserill.cluster.consensus.DiskStorage;
+import gorserill.cluster.consensus.StableStorage;
 import gorserill.cluster.member.Member;
-import gorserill.cluster.member.Terms;
+import gorserill.cluster.member.MemberConfig;
+import gorserill.cluster.member.PieceHandler;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -29,15 +29,15 @@
  */
 public class BadInputTest {
     /** A voter alone; what it sends is kept. */
-    private static final class Alone implements Ground, Shelf, Duty {
+    private static final class Alone implements ClusterEnvironment, StableStorage, PieceHandler {
         final TreeMap<String, String> texts = new TreeMap<>();
         final List<byte[]> sent = new ArrayList<>();
         final Deque<Runnable> due = new ArrayDeque<>();
         long now = 1_000;
 
-        Member member() throws BadMessage {
+        Member member() throws MalformedMessageException {
             Member member = new Member(
-                    new Terms("c", "n0", "p", 1, "1", List.of("n0", "n1", "n2"), List.of("x"), 100, 1_000, 0.05),
+                    new MemberConfig("c", "n0", "p", 1, "1", List.of("n0", "n1", "n2"), List.of("x"), 100, 1_000, 0.05),
                     this,
                     this,
                     1,
@@ -91,7 +91,7 @@
     }
 
     @Test
-    public void datagramsOfAnyBytesAreDroppedAndCounted() throws BadMessage {
+    public void datagramsOfAnyBytesAreDroppedAndCounted() throws MalformedMessageException {
         Alone alone = new Alone();
         Member member = alone.member();
         SplittableRandom random = new SplittableRandom(3);
@@ -111,7 +111,7 @@
             for (int spoilt = random.nextInt(6); spoilt > 0; spoilt--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
             }
-            member.heard(java.util.Arrays.copyOf(bytes, random.nextInt(bytes.length + 1)));
+            member.receive(java.util.Arrays.copyOf(bytes, random.nextInt(bytes.length + 1)));
         }
         assertTrue(
                 member.dropped().values().stream().mapToInt(n -> n).sum() > 10_000,
@@ -120,14 +120,14 @@
                 member.dropped().size() <= 65,
                 "reasons are bounded: " + member.dropped().size());
         assertEquals(member.owned(), List.of());
-        member.heard("{\"kind\":\"view\",\"cluster\":\"other\",\"from\":\"n1\"}".getBytes(StandardCharsets.UTF_8));
+        member.receive("{\"kind\":\"view\",\"cluster\":\"other\",\"from\":\"n1\"}".getBytes(StandardCharsets.UTF_8));
         assertTrue(member.dropped().get("another cluster's") > 0);
     }
 
     @Test
     public void aStoreOverItsBoundFailsAtAFlushAndNamesTheBound() throws IOException {
         Path file = Files.createTempDirectory("shelf").resolve("voter.mv");
-        try (DiskShelf shelf = new DiskShelf(file, 64 << 10)) {
+        try (DiskStorage shelf = new DiskStorage(file, 64 << 10)) {
             IOException full = expectThrows(IOException.class, () -> {
                 for (int i = 0; i < 1_000; i++) {
                     shelf.put("log/" + i, Integer.toString(i).repeat(500));
@@ -142,23 +142,23 @@
     @Test
     public void aStoreThatCanNotBeReadNamesItsFileAndKey() throws IOException {
         Path file = Files.createTempDirectory("shelf").resolve("voter.mv");
-        DiskShelf shelf = new DiskShelf(file, 1 << 20);
+        DiskStorage shelf = new DiskStorage(file, 1 << 20);
         shelf.put("term", "{\"term\":3}");
         shelf.flush();
         shelf.put("term", "lost");
         shelf.close();
-        DiskShelf again = new DiskShelf(file, 1 << 20);
+        DiskStorage again = new DiskStorage(file, 1 << 20);
         assertEquals(again.all().get("term"), "{\"term\":3}", "what was flushed is there, and nothing more");
-        IOException used = expectThrows(IOException.class, () -> new DiskShelf(file, 1 << 20));
+        IOException used = expectThrows(IOException.class, () -> new DiskStorage(file, 1 << 20));
         assertTrue(used.getMessage().contains(file.toString()), used.getMessage());
         again.close();
         Files.writeString(file, "this is no store at all, but a text that is long enough to be looked at");
-        IOException spoilt = expectThrows(IOException.class, () -> new DiskShelf(file, 1 << 20));
+        IOException spoilt = expectThrows(IOException.class, () -> new DiskStorage(file, 1 << 20));
         assertTrue(spoilt.getMessage().contains(file.toString()), spoilt.getMessage());
         Alone alone = new Alone();
         alone.texts.put("endpoint", "{\"name\":\"n0\",\"voting\":true}");
         alone.texts.put("members", "{\"index\":0,");
-        BadMessage bad = expectThrows(BadMessage.class, alone::member);
+        MalformedMessageException bad = expectThrows(MalformedMessageException.class, alone::member);
         assertTrue(bad.getMessage().startsWith("members:"), bad.getMessage());
     }
 }
--- a/src/test/java/gorserill/cluster/LabTest.java
+++ b/src/test/java/gorserill/cluster/LabTest.java
@@ -14,7 +14,7 @@
 import gorserill.cluster.lab.Lab.Scene;
 import gorserill.cluster.lab.MessageKind;
 import gorserill.cluster.lab.Traffic;
-import gorserill.cluster.member.Member.Plant;
+import gorserill.cluster.member.Member.InjectedFault;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Map;
@@ -28,7 +28,7 @@
     private static final Set<Fault> ALL = EnumSet.allOf(Fault.class);
     private static final int PIECES_OF_THE_LAB = 4;
 
-    private static List<Outcome> runs(int nodes, long seeds, Set<Fault> faults, Set<Plant> plants) {
+    private static List<Outcome> runs(int nodes, long seeds, Set<Fault> faults, Set<InjectedFault> plants) {
         return LongStream.range(0, seeds)
                 .parallel()
                 .mapToObj(seed -> Lab.run(new Plan(nodes, Math.min(3, nodes), 30, seed, faults, plants)))
@@ -111,7 +111,7 @@
     public void aDetourSparesMostLives() {
         Set<Fault> link = EnumSet.of(Fault.LINK);
         int with = runs(9, 20, link, Set.of()).stream().mapToInt(Outcome::lives).sum();
-        int without = runs(9, 20, link, Set.of(Plant.NO_DETOUR)).stream()
+        int without = runs(9, 20, link, Set.of(InjectedFault.NO_DETOUR)).stream()
                 .mapToInt(Outcome::lives)
                 .sum();
         assertTrue(without > 20 && 3 * with < without, with + " of " + without);
@@ -138,7 +138,7 @@
                                     + found.outcome().violation());
             assertTrue(found.distinct() > 100 && found.acts() > 20_000, found + "");
         }
-        for (Plant plant : Set.of(Plant.CLAIM_SKIPPED, Plant.OWNER_THAT_DOES_NOT_CHECK)) {
+        for (InjectedFault plant : Set.of(InjectedFault.CLAIM_SKIPPED, InjectedFault.OWNER_THAT_DOES_NOT_CHECK)) {
             assertNotNull(Explorer.run(1, Scene.QUIET, 0, 30, 1, Set.of(plant)).violated());
         }
     }
@@ -147,19 +147,19 @@
     public Object[][] plants() {
         Set<Fault> forget = EnumSet.of(Fault.FORGET, Fault.CUT);
         return new Object[][] {
-            {Plant.CLAIM_SKIPPED, 10, ALL},
-            {Plant.EPOCH_NOT_KEPT, 10, ALL},
-            {Plant.LEASE_WITHOUT_MARGIN, 30, ALL},
-            {Plant.OWNER_THAT_DOES_NOT_CHECK, 30, ALL},
-            {Plant.FORGOTTEN_VOTES, 120, forget},
-            {Plant.PARTS_OVER, 2, ALL},
-            {Plant.GIVES_BACK_LATE, 10, ALL},
-            {Plant.PART_KEPT, 20, ALL}
+            {InjectedFault.CLAIM_SKIPPED, 10, ALL},
+            {InjectedFault.EPOCH_NOT_KEPT, 10, ALL},
+            {InjectedFault.LEASE_WITHOUT_MARGIN, 30, ALL},
+            {InjectedFault.OWNER_THAT_DOES_NOT_CHECK, 30, ALL},
+            {InjectedFault.FORGOTTEN_VOTES, 120, forget},
+            {InjectedFault.PARTS_OVER, 2, ALL},
+            {InjectedFault.GIVES_BACK_LATE, 10, ALL},
+            {InjectedFault.PART_KEPT, 20, ALL}
         };
     }
 
     @Test(dataProvider = "plants")
-    public void aPlantedFaultIsFound(Plant plant, int seeds, Set<Fault> faults) {
+    public void aPlantedFaultIsFound(InjectedFault plant, int seeds, Set<Fault> faults) {
         assertTrue(
                 runs(3, seeds, faults, Set.of(plant)).stream().anyMatch(o -> o.violation() != null),
                 plant + " was not found in " + seeds + " seeds");
--- a/src/test/java/gorserill/cluster/RegisterProperties.java
+++ b/src/test/java/gorserill/cluster/RegisterProperties.java
@@ -6,7 +6,7 @@
 
 import gorserill.cluster.ownership.Entry;
 import gorserill.cluster.ownership.Register;
-import gorserill.cluster.ownership.Register.Answer;
+import gorserill.cluster.ownership.Register.CommandResult;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -63,7 +63,7 @@
                     entry instanceof Entry.Claim claim && register.pieces().containsKey(claim.piece())
                             ? new HashSet<>(register.pieces().get(claim.piece()).unknown)
                             : Set.of();
-            Answer answer = (Answer) register.apply(i, Register.text(entry));
+            CommandResult answer = (CommandResult) register.apply(i, Register.text(entry));
             assertEquals(answer, copy.apply(i, Register.text(entry)), "the same entry, the same answer");
             if (i == 150) {
                 String text = copy.snapshot();
@@ -71,7 +71,7 @@
                 copy.restore(text);
             }
             assertEquals(register.snapshot(), copy.snapshot());
-            if (entry instanceof Entry.Claim claim && answer.done()) {
+            if (entry instanceof Entry.Claim claim && answer.accepted()) {
                 String act = claim.piece() + "#" + claim.act() + " under " + claim.epoch();
                 boolean again = claim.again() && unknown.contains(claim.act());
                 boolean first = claimed.add(claim.piece() + "#" + claim.act());
@@ -88,10 +88,10 @@
                     assertTrue(register.nodes().containsKey(piece.owner), "a node that is gone owns " + name);
                     owners.put(name, piece.owner);
                 } else {
-                    assertTrue(register.heir(name) == null, "nobody owns " + name + " though one could");
+                    assertTrue(register.preferredOwner(name) == null, "nobody owns " + name + " though one could");
                 }
                 epochs.put(name, piece.epoch);
-                assertTrue(piece.open.size() <= Register.OPEN_ACTS
+                assertTrue(piece.open.size() <= Register.MAX_OPEN_ACTS
                         && piece.open.keySet().containsAll(piece.unknown));
             });
         }
@@ -109,12 +109,12 @@
             register.apply(n + 1, Register.text(new Entry.Open("n" + n, "x", 1, "1", pieces, 2)));
         }
         Map<String, String> before = new HashMap<>();
-        pieces.forEach(piece -> before.put(piece, register.heir(piece)));
+        pieces.forEach(piece -> before.put(piece, register.preferredOwner(piece)));
         register.apply(10, Register.text(new Entry.Open("new", "x", 1, "1", pieces, 2)));
         long moved = pieces.stream()
-                .filter(piece -> !register.heir(piece).equals(before.get(piece)))
+                .filter(piece -> !register.preferredOwner(piece).equals(before.get(piece)))
                 .count();
-        pieces.forEach(piece -> assertTrue(Set.of(before.get(piece), "new").contains(register.heir(piece))));
+        pieces.forEach(piece -> assertTrue(Set.of(before.get(piece), "new").contains(register.preferredOwner(piece))));
         assertTrue(moved > 0 && moved < 25, moved + " of 60 moved");
         assertFalse(new HashSet<>(before.values()).size() < 4, "work is spread: " + before.values());
     }
--- a/src/test/java/gorserill/cluster/RegisterTest.java
+++ b/src/test/java/gorserill/cluster/RegisterTest.java
@@ -6,7 +6,7 @@
 
 import gorserill.cluster.ownership.Entry;
 import gorserill.cluster.ownership.Register;
-import gorserill.cluster.ownership.Register.Answer;
+import gorserill.cluster.ownership.Register.CommandResult;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -24,43 +24,43 @@
         index = 0;
     }
 
-    private Answer put(Entry entry) {
-        return (Answer) register.apply(++index, Register.text(entry));
+    private CommandResult put(Entry entry) {
+        return (CommandResult) register.apply(++index, Register.text(entry));
     }
 
-    private Answer put(String entry) {
-        return (Answer) register.apply(++index, entry);
+    private CommandResult put(String entry) {
+        return (CommandResult) register.apply(++index, entry);
     }
 
-    private Answer open(String node, int format) {
+    private CommandResult open(String node, int format) {
         return put(new Entry.Open(node, node + index, index, "1", List.of("a"), format));
     }
 
     @Test
     public void soManyMayBeOutAndThoseThatWentUnheardCount() {
-        long life = open("n0", 2).number();
+        long life = open("n0", 2).value();
         open("n1", 2);
         open("n2", 2);
-        assertTrue(put(new Entry.Close("n0", life, Register.UNHEARD)).done());
-        Answer no = put(new Entry.Permit("n1", 1, false));
-        assertFalse(no.done());
-        assertTrue(no.why().contains("n0"), no.why());
+        assertTrue(put(new Entry.Close("n0", life, Register.NOT_HEARD)).accepted());
+        CommandResult no = put(new Entry.Permit("n1", 1, false));
+        assertFalse(no.accepted());
+        assertTrue(no.reason().contains("n0"), no.reason());
         open("n0", 2);
-        assertTrue(put(new Entry.Permit("n1", 1, false)).done(), "n0 is back");
-        assertTrue(put(new Entry.Permit("n1", 1, false)).done(), "asked again, it is the same permit");
-        assertFalse(put(new Entry.Permit("n2", 1, false)).done());
-        assertFalse(put(new Entry.Permit("n2", 1, true)).done());
-        assertEquals(register.out().keySet(), Set.of("n1", "n2"), "whoever goes anyway is out, too");
+        assertTrue(put(new Entry.Permit("n1", 1, false)).accepted(), "n0 is back");
+        assertTrue(put(new Entry.Permit("n1", 1, false)).accepted(), "asked again, it is the same permit");
+        assertFalse(put(new Entry.Permit("n2", 1, false)).accepted());
+        assertFalse(put(new Entry.Permit("n2", 1, true)).accepted());
+        assertEquals(register.outOfService().keySet(), Set.of("n1", "n2"), "whoever goes anyway is out, too");
         put(new Entry.Release("n1"));
         put(new Entry.Release("n2"));
-        assertTrue(put(new Entry.Permit("n0", 1, false)).done());
+        assertTrue(put(new Entry.Permit("n0", 1, false)).accepted());
     }
 
     @Test
     public void whoeverLeavesByPlanIsNotWaitedFor() {
-        long life = open("n0", 2).number();
+        long life = open("n0", 2).value();
         put(new Entry.Close("n0", life, "left"));
-        assertEquals(register.out(), java.util.Map.of());
+        assertEquals(register.outOfService(), java.util.Map.of());
     }
 
     @Test
@@ -71,25 +71,27 @@
         assertTrue(new Entry.Permit("new", 1, false).format() > register.format(), "so the leader refuses it");
         open("old", 2);
         assertEquals(register.format(), 2);
-        assertTrue(put(new Entry.Permit("new", 1, false)).done());
-        Answer late = open("older", 1);
-        assertFalse(late.done(), "its voter would leave out what the log has");
-        assertTrue(late.why().contains("later build"), late.why());
-        assertEquals(((Answer) register.apply(++index, "{\"do\":\"unheard of\"}")).why(), "no entry of this build");
+        assertTrue(put(new Entry.Permit("new", 1, false)).accepted());
+        CommandResult late = open("older", 1);
+        assertFalse(late.accepted(), "its voter would leave out what the log has");
+        assertTrue(late.reason().contains("later build"), late.reason());
+        assertEquals(
+                ((CommandResult) register.apply(++index, "{\"do\":\"unheard of\"}")).reason(),
+                "no entry of this build");
     }
 
     @Test
     public void aReplacementIsDoneOnceAndTheLastOneAskedForCounts() {
         open("n3", 2);
-        assertFalse(put(new Entry.Replace("n0", "gone")).done());
-        long first = put(new Entry.Replace("n0", "n3")).number();
-        long second = put(new Entry.Replace("n1", "n3")).number();
-        assertFalse(put(new Entry.Replaced(first)).done());
+        assertFalse(put(new Entry.Replace("n0", "gone")).accepted());
+        long first = put(new Entry.Replace("n0", "n3")).value();
+        long second = put(new Entry.Replace("n1", "n3")).value();
+        assertFalse(put(new Entry.Replaced(first)).accepted());
         assertEquals(register.replacing().leaving, "n1");
         Register copy = new Register(Set.of());
         copy.restore(register.snapshot());
         assertEquals(copy.replacing().entry, second);
-        assertTrue(put(new Entry.Replaced(second)).done());
+        assertTrue(put(new Entry.Replaced(second)).accepted());
         assertEquals(register.replacing(), null);
     }
 
@@ -99,7 +101,7 @@
         List<Entry.RequestBudget> requests = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             String node = "n" + i;
-            long life = open(node, Entry.FORMAT).number();
+            long life = open(node, Entry.FORMAT).value();
             other.apply(
                     index,
                     Register.text(
@@ -107,31 +109,31 @@
             requests.add(new Entry.RequestBudget(node, life, "b", 300 + 100 * i, 1_000, 1));
         }
         requests.add(new Entry.RequestBudget("n0", 99, "b", 1_000, 1_000, 2));
-        Register.Answers all =
-                (Register.Answers) register.apply(++index, Register.text(new Entry.RequestBudgets(requests)));
-        List<Answer> each = requests.stream()
-                .map(one -> (Answer) other.apply(index, Register.text(one)))
+        Register.CommandResults all =
+                (Register.CommandResults) register.apply(++index, Register.text(new Entry.RequestBudgets(requests)));
+        List<CommandResult> each = requests.stream()
+                .map(one -> (CommandResult) other.apply(index, Register.text(one)))
                 .toList();
-        assertEquals(all.each(), each);
-        assertFalse(all.each().get(4).done(), "that life is over");
+        assertEquals(all.results(), each);
+        assertFalse(all.results().get(4).accepted(), "that life is over");
         assertEquals(
-                register.parts().parts.get("b").keySet(),
-                other.parts().parts.get("b").keySet());
+                register.budgetShares().parts.get("b").keySet(),
+                other.budgetShares().parts.get("b").keySet());
         Register copy = new Register(Set.of());
         copy.restore(register.snapshot());
         assertEquals(copy.snapshot(), register.snapshot());
-        assertEquals(copy.parts().due("b"), other.parts().due("b"));
+        assertEquals(copy.budgetShares().due("b"), other.budgetShares().due("b"));
     }
 
     @Test
     public void anEntryOfSeveralRequestsThatIsHalfMadeChangesNothing() {
-        long life = open("n0", Entry.FORMAT).number();
-        assertEquals(((Register.Answers) register.apply(++index, "{\"do\":\"say_all\"}")).each(), List.of());
+        long life = open("n0", Entry.FORMAT).value();
+        assertEquals(((Register.CommandResults) register.apply(++index, "{\"do\":\"say_all\"}")).results(), List.of());
         String before = register.snapshot();
-        assertFalse(put("{\"do\":\"say_all\",\"each\":[null]}").done());
+        assertFalse(put("{\"do\":\"say_all\",\"each\":[null]}").accepted());
         assertFalse(put("{\"do\":\"say_all\",\"each\":[{\"node\":\"n0\",\"life\":" + life
                         + ",\"budget\":7,\"wants\":\"much\"}]}")
-                .done());
+                .accepted());
         assertEquals(register.snapshot(), before);
     }
 }
--- a/src/test/java/gorserill/cluster/member/BudgetRequestsTest.java
+++ b/src/test/java/gorserill/cluster/member/BudgetRequestsTest.java
@@ -68,15 +68,15 @@
 
     @Test
     public void aQuestionThatComesAgainWaitsForTheSameEntryAndIsAnsweredByAllItsWays() {
-        OpenQuestions questions = new OpenQuestions();
+        PendingRequests questions = new PendingRequests();
         List<String> answered = new ArrayList<>();
-        assertTrue(questions.came("p", 1, answer -> answered.add("straight")));
-        assertTrue(!questions.came("p", 1, answer -> answered.add("by another")));
-        assertTrue(questions.came("q", 1, answer -> answered.add("another process's")));
-        questions.answered("p", 1, new Register.Answer(true, "", 1));
+        assertTrue(questions.add("p", 1, answer -> answered.add("straight")));
+        assertTrue(!questions.add("p", 1, answer -> answered.add("by another")));
+        assertTrue(questions.add("q", 1, answer -> answered.add("another process's")));
+        questions.complete("p", 1, new Register.CommandResult(true, "", 1));
         assertEquals(answered, List.of("straight", "by another"));
-        assertTrue(questions.came("p", 1, answer -> answered.add("again")), "its answer may have been lost");
-        questions.answered("p", 1, null);
+        assertTrue(questions.add("p", 1, answer -> answered.add("again")), "its answer may have been lost");
+        questions.complete("p", 1, null);
         assertEquals(answered.size(), 2, "what is not known is not told");
     }
 }
--- a/src/test/java/gorserill/cluster/shared/SpenderTest.java
+++ b/src/test/java/gorserill/cluster/shared/SpenderTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import gorserill.cluster.Ground;
+import gorserill.cluster.ClusterEnvironment;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.IntConsumer;
@@ -36,7 +36,7 @@
     }
 
     /** A clock that is put forward by the next thing to be done. */
-    private static final class Clock implements Ground {
+    private static final class Clock implements ClusterEnvironment {
         private Runnable next;
 
         void beat() {
--- a/src/test/java/gorserill/measure/LeaderCapacity.java
+++ b/src/test/java/gorserill/measure/LeaderCapacity.java
@@ -1,11 +1,11 @@
 package gorserill.measure;
 
-import gorserill.cluster.BadMessage;
-import gorserill.cluster.Ground;
-import gorserill.cluster.consensus.Shelf;
-import gorserill.cluster.member.Duty;
+import gorserill.cluster.ClusterEnvironment;
+import gorserill.cluster.MalformedMessageException;
+import gorserill.cluster.consensus.StableStorage;
 import gorserill.cluster.member.Member;
-import gorserill.cluster.member.Terms;
+import gorserill.cluster.member.MemberConfig;
+import gorserill.cluster.member.PieceHandler;
 import gorserill.cluster.shared.Allowance;
 import gorserill.cluster.shared.Budget;
 import gorserill.cluster.shared.Spender;
@@ -54,7 +54,7 @@
         acts = args[4].equals("acts");
     }
 
-    private static final class Memory implements Shelf {
+    private static final class Memory implements StableStorage {
         private final TreeMap<String, String> all = new TreeMap<>();
 
         @Override
@@ -77,7 +77,7 @@
     }
 
     /** A member and what is counted of it. */
-    private final class Place implements Ground, Duty {
+    private final class Place implements ClusterEnvironment, PieceHandler {
         private final String name;
         private final Member member;
         private final List<Budget> budgets;
@@ -89,19 +89,19 @@
         private double cpu;
 
         Place(String name, List<String> voters, List<String> pieces, long beat, List<Budget> budgets)
-                throws BadMessage {
+                throws MalformedMessageException {
             this.name = name;
             this.budgets = budgets;
             member = new Member(
-                    new Terms("capacity", name, name + "/1", 1, "1", voters, pieces, beat, 15 * beat, 0.05),
+                    new MemberConfig("capacity", name, name + "/1", 1, "1", voters, pieces, beat, 15 * beat, 0.05),
                     this,
                     voters.contains(name) ? new Memory() : null,
                     random.nextLong(),
                     this,
                     Set.of());
             spender = new Spender(
-                    budgets, this, member.spends(), 3 * beat / 2, 15 * beat, false, all -> allowances = all);
-            member.spender(spender);
+                    budgets, this, member.budgetLink(), 3 * beat / 2, 15 * beat, false, all -> allowances = all);
+            member.setSpender(spender);
         }
 
         void demand(int nodes, boolean moving) {
@@ -148,7 +148,7 @@
             at(wire, other, () -> {
                 other.received++;
                 other.receivedBytes += message.length;
-                other.member.heard(message);
+                other.member.receive(message);
             });
         }
 
@@ -164,11 +164,11 @@
                 return;
             }
             member.claim(piece, act, false, claimed -> {
-                if (claimed == Member.Claimed.YES) {
+                if (claimed == Member.ClaimResult.GRANTED) {
                     done++;
                     member.done(piece, epoch, act);
                 }
-                boolean next = claimed == Member.Claimed.YES || claimed == Member.Claimed.NO;
+                boolean next = claimed == Member.ClaimResult.GRANTED || claimed == Member.ClaimResult.REFUSED;
                 after(next ? 0 : 50, () -> act(piece, epoch, next ? act + 1 : act));
             });
         }
@@ -197,7 +197,7 @@
         now = end;
     }
 
-    public static void main(String[] args) throws BadMessage {
+    public static void main(String[] args) throws MalformedMessageException {
         System.out.println("| nodes | voters | pieces | budgets | leader: % of a core | sent: messages/s"
                 + " | KB/s | received: messages/s | KB/s | a node: % of a core | sent KB/s | received KB/s"
                 + " | of the budgets, allowed | log entries a second"
@@ -226,7 +226,7 @@
         return names;
     }
 
-    private String round(int nodes, String[] args, Spread[] told) throws BadMessage {
+    private String round(int nodes, String[] args, Spread[] told) throws MalformedMessageException {
         List<String> voters = names("node-", Integer.parseInt(args[1]));
         List<Budget> budgets = names("team-", Integer.parseInt(args[5])).stream()
                 .map(name -> new Budget(name, -1, -1, 27, 27, 20, nodes, true))
@@ -250,11 +250,11 @@
         }
         passUntil(SETTLED);
         Place leader = places.values().stream()
-                .filter(p -> "leads".equals(p.member.voting()))
+                .filter(p -> "leads".equals(p.member.voterStatus()))
                 .findFirst()
                 .orElseThrow(() -> new IllegalStateException("nobody leads"));
         places.values().forEach(Place::forget);
-        long entries = leader.member.asOf();
+        long entries = leader.member.viewIndex();
         done = 0;
         passUntil(SETTLED + MEASURED);
         double seconds = MEASURED / 1e3;
@@ -273,7 +273,7 @@
                         .mapToDouble(a -> a.share(now))
                         .sum()
                 / Math.max(1, budgets.size()));
-        told[9].add((leader.member.asOf() - entries) / seconds);
+        told[9].add((leader.member.viewIndex() - entries) / seconds);
         told[10].add(done / seconds);
         StringBuilder kinds = new StringBuilder();
         leader.sent.forEach(
--- a/src/test/java/gorserill/measure/WireCapacity.java
+++ b/src/test/java/gorserill/measure/WireCapacity.java
@@ -201,7 +201,7 @@
         for (int round = 0; round < rounds * 3; round++) {
             long life = register.nodes().get("node-9").life;
             double from = Spread.cpu();
-            register.apply(++index[0], Register.text(new Entry.Close("node-9", life, Register.UNHEARD)));
+            register.apply(++index[0], Register.text(new Entry.Close("node-9", life, Register.NOT_HEARD)));
             double gone = Spread.cpu();
             open(register, ++index[0], 9, names);
             goes.add(gone - from);
--- a/src/test/java/gorserill/routing/ImportsTest.java
+++ b/src/test/java/gorserill/routing/ImportsTest.java
@@ -125,7 +125,7 @@
                 "LocalDate.now",
                 "Math.random"));
         found.addAll(naming("cluster", "java.nio.file", "java.io.File").stream()
-                .filter(line -> !line.contains("DiskShelf.java"))
+                .filter(line -> !line.contains("DiskStorage.java"))
                 .toList());
         found.addAll(naming("cluster/ownership", "cluster.member", "cluster.standing", "cluster.lab"));
         found.addAll(
