--- a/src/test/java/gorserill/routing/ImportsTest.java
+++ b/src/test/java/gorserill/routing/ImportsTest.java
@@ -133,7 +133,7 @@
                 "LocalDate.now",
                 "Math.random"));
         violations.addAll(linesNaming("cluster", "java.nio.file", "java.io.File").stream()
-                .filter(line -> !line.contains("DiskShelf.java"))
+                .filter(line -> !line.contains("DiskStorage.java"))
                 .toList());
         violations.addAll(linesNaming("cluster/ownership", "cluster.member", "cluster.standing", "cluster.lab"));
         violations.addAll(linesNaming(
