--- a/src/main/java/gorserill/cluster/address/Announcer.java
+++ b/src/main/java/gorserill/cluster/address/Announcer.java
@@ -5,7 +5,7 @@
 /** Where an address is announced; whoever sends clients on looks there. */
 public interface Announcer {
     /** What became of it. */
-    enum Told {
+    enum AnnounceResult {
         DONE,
         /** A newer owner has announced: this one is not to try again. */
         TOO_LATE,
@@ -18,8 +18,8 @@
      * @param epoch rises from owner to owner; a registry that looks at it refuses lower ones than it has
      * @param then is told on the member's thread, once
      */
-    void announce(String value, long epoch, Consumer<Told> then);
+    void announce(String value, long epoch, Consumer<AnnounceResult> then);
 
     /** Tells, on the member's thread, once, what is announced at present; null where that is not known. */
-    void look(Consumer<String> then);
+    void lookUp(Consumer<String> then);
 }
--- a/src/main/java/gorserill/cluster/address/Address.java
+++ b/src/main/java/gorserill/cluster/address/ServiceAddress.java
@@ -1,7 +1,7 @@
 package gorserill.cluster.address;
 
 import gorserill.cluster.Ground;
-import gorserill.cluster.address.Announcer.Told;
+import gorserill.cluster.address.Announcer.AnnounceResult;
 import gorserill.cluster.member.Duty;
 import gorserill.cluster.member.Member;
 import gorserill.cluster.member.Member.Claimed;
@@ -15,7 +15,7 @@
  * was stalled on its way to the registry wakes up late; a registry that looks at epochs turns it away, at any
  * other the owner's next announcement, which comes each {@code refresh}, puts that right.
  */
-public final class Address implements Duty {
+public final class ServiceAddress implements Duty {
     private static final long AGAIN = 50;
 
     private final String value;
@@ -36,7 +36,8 @@
      * @param refresh milliseconds between announcements
      * @param teller hears the epoch and what was done, for the log
      */
-    public Address(String value, long refresh, Ground ground, Announcer announcer, BiConsumer<Long, String> teller) {
+    public ServiceAddress(
+            String value, long refresh, Ground ground, Announcer announcer, BiConsumer<Long, String> teller) {
         this.value = value;
         this.refresh = refresh;
         this.ground = ground;
@@ -45,16 +46,16 @@
     }
 
     /** The member that claims; to be told before it starts. */
-    public void member(Member its) {
+    public void setMember(Member its) {
         member = its;
     }
 
     /** Tells whether clients are sent elsewhere, as far as is known. */
-    public void elsewhere(Consumer<Boolean> then) {
+    public void checkAnnouncedElsewhere(Consumer<Boolean> then) {
         if (piece == null) {
             then.accept(true);
         } else {
-            announcer.look(at -> then.accept(at != null && !at.equals(value)));
+            announcer.lookUp(at -> then.accept(at != null && !at.equals(value)));
         }
     }
 
@@ -100,16 +101,18 @@
             if (epoch == under) {
                 busy = false;
             }
-            if (act > 0 || told == Told.TOO_LATE) {
-                teller.accept(under, told == Told.DONE ? "announced " + value : "not announced: " + told);
+            if (act > 0 || told == AnnounceResult.TOO_LATE) {
+                teller.accept(under, told == AnnounceResult.DONE ? "announced " + value : "not announced: " + told);
             }
-            if (told == Told.DONE) {
+            if (told == AnnounceResult.DONE) {
                 closed(under, act);
             }
             if (epoch == under && whenIdle != null) {
                 whenIdle.run();
-            } else if (told != Told.TOO_LATE) {
-                ground.after(told == Told.DONE ? refresh : AGAIN, () -> announce(under, told == Told.DONE ? 0 : act));
+            } else if (told != AnnounceResult.TOO_LATE) {
+                ground.after(
+                        told == AnnounceResult.DONE ? refresh : AGAIN,
+                        () -> announce(under, told == AnnounceResult.DONE ? 0 : act));
             }
         });
     }
--- a/src/main/java/gorserill/cluster/lab/Lab.java
+++ b/src/main/java/gorserill/cluster/lab/ClusterSimulation.java
@@ -8,10 +8,10 @@
 import gorserill.cluster.member.Terms;
 import gorserill.cluster.shared.Allowance;
 import gorserill.cluster.shared.Budget;
-import gorserill.cluster.shared.Door;
-import gorserill.cluster.shared.Spender;
-import gorserill.cluster.standing.Standing;
+import gorserill.cluster.shared.BudgetClient;
+import gorserill.cluster.shared.BudgetLimiter;
 import gorserill.cluster.standing.StandingJob;
+import gorserill.cluster.standing.StandingJobScheduler;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.EnumSet;
@@ -32,7 +32,7 @@
  * One run of a cluster in virtual time. The same seed gives the same run to the byte. After each event all
  * rules are checked; the first that is broken ends the run, with what led to it.
  */
-public final class Lab {
+public final class ClusterSimulation {
     /** What can be made to happen. */
     public enum Fault {
         LOSS,
@@ -51,7 +51,7 @@
     }
 
     /** What can be made to happen at one step of a node: a message that comes, or a time that is due. */
-    public enum Slip {
+    public enum StepFault {
         /** The message is lost; what is due is done. */
         LOST,
         /** It comes, or is done, a lease and a half later; what comes after it does not wait. */
@@ -64,7 +64,7 @@
     }
 
     /** What is done by plan once all has settled, so that slips can come at each step of it. */
-    public enum Scene {
+    public enum Scenario {
         QUIET,
         LEAVE,
         REPLACE
@@ -74,8 +74,8 @@
      * A run.
      *
      * @param nodes in all, the first {@code voters} of them voting
-     * @param seconds of faults; after that all is whole for {@code calm} ms, in which work must go on
-     * @param slips at steps that are counted from {@link #SETTLED} on
+     * @param seconds of faults; after that all is whole for {@code calmMs} ms, in which work must go on
+     * @param stepFaults at steps that are counted from {@link #SETTLED_MS} on
      */
     public record Plan(
             int nodes,
@@ -84,11 +84,11 @@
             long seed,
             Set<Fault> faults,
             Set<Member.Plant> plants,
-            long calm,
-            Scene scene,
-            Map<Integer, Slip> slips) {
+            long calmMs,
+            Scenario scenario,
+            Map<Integer, StepFault> stepFaults) {
         public Plan(int nodes, int voters, int seconds, long seed, Set<Fault> faults, Set<Member.Plant> plants) {
-            this(nodes, voters, seconds, seed, faults, plants, CALM, Scene.QUIET, Map.of());
+            this(nodes, voters, seconds, seed, faults, plants, CALM_MS, Scenario.QUIET, Map.of());
         }
     }
 
@@ -96,16 +96,16 @@
     public record Outcome(
             String violation,
             List<String> history,
-            int acts,
-            int unknown,
+            int actsRun,
+            int unknownClaims,
             int epochs,
             int faults,
-            int lives,
-            int replaced,
-            int hard,
-            int soft,
-            long longestGap,
-            List<Long> gaps,
+            int falselyEndedLives,
+            int replacedVoters,
+            int hardAdmitted,
+            int softAdmitted,
+            long longestGapMs,
+            List<Long> gapsMs,
             long messages,
             long bytes,
             long fingerprint,
@@ -113,7 +113,7 @@
             List<Traffic.Figure> traffic) {}
 
     /** What came of many runs; for any thread. */
-    public static final class Sum {
+    public static final class RunSummary {
         private int runs;
         private int violated;
         private long acts;
@@ -133,15 +133,15 @@
         public synchronized boolean add(Outcome one) {
             runs++;
             violated += one.violation == null ? 0 : 1;
-            acts += one.acts;
-            unknown += one.unknown;
+            acts += one.actsRun;
+            unknown += one.unknownClaims;
             epochs += one.epochs;
-            lives += one.lives;
-            replaced += one.replaced;
-            hard += one.hard;
-            soft += one.soft;
-            gap = Math.max(gap, one.longestGap);
-            one.gaps.forEach(gaps::recordValue);
+            lives += one.falselyEndedLives;
+            replaced += one.replacedVoters;
+            hard += one.hardAdmitted;
+            soft += one.softAdmitted;
+            gap = Math.max(gap, one.longestGapMs);
+            one.gapsMs.forEach(gaps::recordValue);
             messages += one.messages;
             bytes += one.bytes;
             traffic.add(one.traffic);
@@ -172,9 +172,9 @@
     /** Work of the fleet: acts that must never be done twice, and acts that may be, by their key. */
     private static final List<String> PIECES = List.of("once-a", "once-b", "keyed-a", "keyed-b");
 
-    public static final long CALM = 15_000;
+    public static final long CALM_MS = 15_000;
     /** By then a leader is there, and each piece has its owner. */
-    public static final long SETTLED = 3_000;
+    public static final long SETTLED_MS = 3_000;
     /** From then on traffic is counted: all nodes have come, and have settled. */
     private static final long STEADY = 5_000;
 
@@ -184,7 +184,7 @@
     private static final double DRIFT = 0.05;
     private static final List<StandingJob> JOBS = PIECES.stream()
             .map(name -> new StandingJob(
-                    name, name, "", 300, null, null, StandingJob.Missed.ALL, 300, name.startsWith("keyed")))
+                    name, name, "", 300, null, null, StandingJob.MissedPolicy.ALL, 300, name.startsWith("keyed")))
             .toList();
     private static final int HISTORY = 60;
     /** A budget of each mode; nodes are asked for far more, one of them at a time for most. */
@@ -199,7 +199,7 @@
     private final SplittableRandom random;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private final Map<String, LabNode> nodes = new TreeMap<>();
+    private final Map<String, SimulatedNode> nodes = new TreeMap<>();
     private final Map<String, Long> cutUntil = new HashMap<>();
     private final List<String> history = new ArrayList<>();
     private final Map<String, Integer> runs = new HashMap<>();
@@ -212,7 +212,7 @@
     private long order;
     private double loss;
     /** The voter that is lost for good, or is to go; one at a time. */
-    private LabNode lost;
+    private SimulatedNode lost;
 
     private String place;
     private String violation;
@@ -235,21 +235,21 @@
     private final Traffic traffic = new Traffic();
     private long sampledAt = STEADY;
 
-    private record Event(long at, long order, LabNode to, int incarnation, Runnable what) {}
+    private record Event(long at, long order, SimulatedNode to, int incarnation, Runnable what) {}
 
-    private Lab(Plan plan) {
+    private ClusterSimulation(Plan plan) {
         this.plan = plan;
         random = new SplittableRandom(plan.seed);
     }
 
     public static Outcome run(Plan plan) {
-        return new Lab(plan).run();
+        return new ClusterSimulation(plan).run();
     }
 
     /** A node: its process, its clock and its disk. */
-    private final class LabNode implements Ground, Duty {
+    private final class SimulatedNode implements Ground, Duty {
         final String name;
-        final LabShelf shelf = new LabShelf();
+        final SimulatedShelf shelf = new SimulatedShelf();
         final double rate;
         final long offset;
         int incarnation;
@@ -257,13 +257,13 @@
         boolean up;
         long life;
         Member member;
-        Standing standing;
-        Door door;
+        StandingJobScheduler standing;
+        BudgetLimiter door;
         List<Allowance> allowances = List.of();
         /** What it may spend of each budget, as of the last look. */
         final double[] share = new double[BUDGETS.size()];
 
-        LabNode(String name) {
+        SimulatedNode(String name) {
             this.name = name;
             rate = plan.faults.contains(Fault.DRIFT) ? 1 + DRIFT * (random.nextDouble() - 0.5) : 1;
             offset = 1_000 + random.nextInt(1_000_000);
@@ -273,7 +273,7 @@
             incarnation++;
             up = true;
             life = 0;
-            standing = new Standing(JOBS, this, () -> now, this::work, (job, number, epoch, what) -> {
+            standing = new StandingJobScheduler(JOBS, this, () -> now, this::work, (job, number, epoch, what) -> {
                 if (what.startsWith("claimed")) {
                     first.putIfAbsent(job, number);
                 } else if (what.startsWith("missed")) {
@@ -304,7 +304,7 @@
                         random.nextLong(),
                         this,
                         plan.plants);
-                standing.member(member);
+                standing.setMember(member);
                 List<Budget> budgets = BUDGETS.stream()
                         .map(b -> new Budget(
                                 b.name(),
@@ -316,9 +316,10 @@
                                 plan.nodes,
                                 b.hard()))
                         .toList();
-                Spender[] spender = new Spender[1];
-                door = new Door(budgets, this::millis, (budget, perSecond) -> spender[0].demand(budget, perSecond));
-                spender[0] = new Spender(
+                BudgetClient[] spender = new BudgetClient[1];
+                door = new BudgetLimiter(
+                        budgets, this::millis, (budget, perSecond) -> spender[0].updateDemand(budget, perSecond));
+                spender[0] = new BudgetClient(
                         budgets,
                         this,
                         member.spends(),
@@ -327,7 +328,7 @@
                         plan.plants.contains(Member.Plant.GIVES_BACK_LATE),
                         all -> {
                             allowances = all;
-                            door.allows(all);
+                            door.updateAllowances(all);
                         });
                 member.spender(spender[0]);
                 member.start();
@@ -343,7 +344,7 @@
             for (int i = busiest ? 4 : random.nextInt(8) == 0 ? 1 : 0; i > 0; i--) {
                 for (int b = 0; b < BUDGETS.size(); b++) {
                     asked++;
-                    if (door.enter(millis() * 1_000, b, -1) == 0) {
+                    if (door.tryAdmit(millis() * 1_000, b, -1) == 0) {
                         entered(b, name);
                     }
                 }
@@ -387,7 +388,7 @@
 
         @Override
         public void send(String to, byte[] message) {
-            LabNode target = nodes.get(to);
+            SimulatedNode target = nodes.get(to);
             messages++;
             bytes += message.length;
             fingerprint = fingerprint * 31 + java.util.Arrays.hashCode(message);
@@ -424,14 +425,15 @@
         }
 
         /** A job is handed over after a while, and ends after another; one in twenty is refused at first. */
-        private void work(StandingJob job, long time, long epoch, int attempt, Consumer<Standing.End> then) {
+        private void work(
+                StandingJob job, long time, long epoch, int attempt, Consumer<StandingJobScheduler.JobResult> then) {
             if (attempt == 0 && random.nextInt(20) == 0) {
-                after(random.nextInt(40), () -> then.accept(Standing.End.REFUSED));
+                after(random.nextInt(40), () -> then.accept(StandingJobScheduler.JobResult.REFUSED));
                 return;
             }
             after(random.nextInt(40), () -> {
-                ran(job.name(), job.number(time), name + "/" + incarnation);
-                after(random.nextInt(40), () -> then.accept(Standing.End.SERVED));
+                ran(job.name(), job.occurrenceAt(time), name + "/" + incarnation);
+                after(random.nextInt(40), () -> then.accept(StandingJobScheduler.JobResult.SERVED));
             });
         }
 
@@ -457,37 +459,37 @@
 
     // ---- time ----
 
-    private void at(long time, LabNode to, Runnable what) {
+    private void at(long time, SimulatedNode to, Runnable what) {
         at(time, to, to.incarnation, what);
     }
 
-    private void at(long time, LabNode to, int incarnation, Runnable what) {
+    private void at(long time, SimulatedNode to, int incarnation, Runnable what) {
         events.add(new Event(Math.max(time, now), order++, to, incarnation, what));
     }
 
     private Outcome run() {
         for (int i = 0; i < plan.nodes; i++) {
-            nodes.put("n" + i, new LabNode("n" + i));
+            nodes.put("n" + i, new SimulatedNode("n" + i));
         }
         nodes.values().forEach(node -> at(random.nextInt(200), node, -1, node::boot));
         long calmFrom = plan.seconds * 1_000L;
-        if (plan.slips.isEmpty() && !plan.faults.isEmpty()) {
+        if (plan.stepFaults.isEmpty() && !plan.faults.isEmpty()) {
             events.add(new Event(4_000, order++, null, -1, this::trouble));
         }
-        LabNode first = nodes.get("n0");
-        switch (plan.scene) {
+        SimulatedNode first = nodes.get("n0");
+        switch (plan.scenario) {
             case LEAVE -> {
-                events.add(new Event(SETTLED, order++, null, -1, () -> begin(Fault.LEAVE, first, 2 * LEASE)));
+                events.add(new Event(SETTLED_MS, order++, null, -1, () -> begin(Fault.LEAVE, first, 2 * LEASE)));
             }
-            case REPLACE -> events.add(new Event(SETTLED, order++, null, -1, () -> begin(Fault.MOVE, first, 0)));
+            case REPLACE -> events.add(new Event(SETTLED_MS, order++, null, -1, () -> begin(Fault.MOVE, first, 0)));
             default -> {}
         }
         events.add(new Event(calmFrom, order++, null, -1, this::calm));
-        while (!events.isEmpty() && violation == null && now < calmFrom + plan.calm) {
+        while (!events.isEmpty() && violation == null && now < calmFrom + plan.calmMs) {
             Event event = events.poll();
             now = event.at;
             sample();
-            LabNode to = event.to;
+            SimulatedNode to = event.to;
             if (to == null) {
                 event.what.run();
             } else if (event.incarnation >= 0 && event.incarnation != to.incarnation) {
@@ -534,17 +536,17 @@
     /** For how long nodes had their roles, which rates of traffic are counted by. */
     private void sample() {
         for (; now >= sampledAt + SAMPLE; sampledAt += SAMPLE) {
-            nodes.values().stream().filter(node -> node.up).forEach(node -> traffic.spent(node.role(), SAMPLE));
+            nodes.values().stream().filter(node -> node.up).forEach(node -> traffic.addRoleTime(node.role(), SAMPLE));
         }
     }
 
     /** Does to this step what the plan says; whether it is not to be carried out now. */
     private boolean slips(Event event) {
-        Slip slip = now < SETTLED ? null : plan.slips.get(steps++);
+        StepFault slip = now < SETTLED_MS ? null : plan.stepFaults.get(steps++);
         if (slip == null) {
             return false;
         }
-        LabNode node = event.to;
+        SimulatedNode node = event.to;
         boolean message = event.incarnation < 0;
         tell("slip: " + (message ? "a message to " : "what is due at ") + node.name + ": " + slip);
         long late = now + LEASE + LEASE / 2;
@@ -582,7 +584,7 @@
     }
 
     /** A life after the first of a process: the one before was ended, though the process lived. */
-    private void lives(LabNode node) {
+    private void lives(SimulatedNode node) {
         long now = node.up ? node.member.life() : 0;
         if (now > 0 && now != node.life) {
             lives += node.life > 0 ? 1 : 0;
@@ -606,7 +608,7 @@
      * Checks what must hold at each moment. Beliefs change with the clock, or by what their own node does: so
      * all nodes are looked at once a millisecond and where several may have changed, else the one that acted.
      */
-    private void check(LabNode acted) {
+    private void check(SimulatedNode acted) {
         if (acted == null || now != checkedAt) {
             checkedAt = now;
             owners();
@@ -621,7 +623,7 @@
     private void parts() {
         for (int b = 0; b < BUDGETS.size(); b++) {
             sum[b] = 0;
-            for (LabNode node : nodes.values()) {
+            for (SimulatedNode node : nodes.values()) {
                 node.share[b] = node.share(b);
                 sum[b] += node.share[b];
             }
@@ -629,7 +631,7 @@
         sums();
     }
 
-    private void parts(LabNode acted) {
+    private void parts(SimulatedNode acted) {
         for (int b = 0; b < BUDGETS.size(); b++) {
             double share = acted.share(b);
             sum[b] += share - acted.share[b];
@@ -651,14 +653,14 @@
     private void owners() {
         owners.clear();
         for (String piece : PIECES) {
-            for (LabNode node : nodes.values()) {
+            for (SimulatedNode node : nodes.values()) {
                 owner(piece, node);
             }
             unowned(piece);
         }
     }
 
-    private void owners(LabNode acted) {
+    private void owners(SimulatedNode acted) {
         for (String piece : PIECES) {
             owners.remove(piece, acted.name);
             owner(piece, acted);
@@ -666,7 +668,7 @@
         }
     }
 
-    private void owner(String piece, LabNode node) {
+    private void owner(String piece, SimulatedNode node) {
         if (node.up && node.member.owns(piece)) {
             String other = owners.put(piece, node.name);
             if (other != null) {
@@ -681,7 +683,7 @@
         } else if (unownedSince.containsKey(piece)) {
             long gap = now - unownedSince.remove(piece);
             longestGap = Math.max(longestGap, gap);
-            if (now > SETTLED) {
+            if (now > SETTLED_MS) {
                 gaps.add(gap);
             }
         }
@@ -703,8 +705,8 @@
             }
         }
         for (StandingJob job : JOBS) {
-            long last = job.number(now - 4 * LEASE);
-            for (long number = first.getOrDefault(job.name(), last); number < last && job.again(); number++) {
+            long last = job.occurrenceAt(now - 4 * LEASE);
+            for (long number = first.getOrDefault(job.name(), last); number < last && job.repeatable(); number++) {
                 if (!runs.containsKey(job.name() + "#" + number) && leftOut.isEmpty()) {
                     describe();
                     violation(job.name() + "#" + number + " is to be made up for, and was never done");
@@ -719,7 +721,7 @@
         return cutUntil.getOrDefault(from + ">" + to, 0L) > now;
     }
 
-    private LabNode any() {
+    private SimulatedNode any() {
         return nodes.get("n" + random.nextInt(plan.nodes));
     }
 
@@ -728,7 +730,7 @@
                 new ArrayList<>(EnumSet.copyOf(plan.faults.isEmpty() ? EnumSet.of(Fault.DRIFT) : plan.faults));
         Fault fault = kinds.get(random.nextInt(kinds.size()));
         long length = 200 + random.nextInt(random.nextInt(10) == 0 ? 10_000 : 3_000);
-        LabNode node = any();
+        SimulatedNode node = any();
         faults++;
         if (now + length < plan.seconds * 1_000L - 500) {
             tell("trouble: " + fault + " at " + node.name + " for " + length + " ms");
@@ -741,7 +743,7 @@
         }));
     }
 
-    private void begin(Fault fault, LabNode node, long length) {
+    private void begin(Fault fault, SimulatedNode node, long length) {
         switch (fault) {
             case LOSS -> {
                 loss = random.nextDouble() * 0.3;
@@ -756,7 +758,7 @@
                 });
             case ONE_WAY -> nodes.keySet().forEach(other -> cut(other, node.name, length));
             case LINK -> {
-                LabNode other = any();
+                SimulatedNode other = any();
                 cut(node.name, other.name, length);
                 cut(other.name, node.name, length);
             }
@@ -826,12 +828,12 @@
     }
 
     /** An operator, who asks whichever node is up, and again until it is done. */
-    private void replace(LabNode gone) {
+    private void replace(SimulatedNode gone) {
         Set<String> seats = seats();
         List<String> spare = new ArrayList<>(nodes.keySet());
         spare.removeIf(name -> seats.contains(name) && !name.equals(gone.name)
                 || name.equals(gone.name) && !gone.member.voting().contains("empty"));
-        LabNode asked = any();
+        SimulatedNode asked = any();
         if (lost == gone && place == null && asked.up && !spare.isEmpty()) {
             String coming = spare.get(random.nextInt(spare.size()));
             asked.member.replace(gone.name, coming, LEASE, answer -> {
@@ -849,7 +851,7 @@
             place = null;
         }
         later(2 * LEASE, () -> {
-            if (lost == gone && now < plan.seconds * 1_000L + plan.calm / 2) {
+            if (lost == gone && now < plan.seconds * 1_000L + plan.calmMs / 2) {
                 replace(gone);
             }
         });
@@ -861,14 +863,14 @@
         }
     }
 
-    private void crash(LabNode node, long length) {
+    private void crash(SimulatedNode node, long length) {
         if (node.up) {
             node.crash();
             later(length, () -> restart(node));
         }
     }
 
-    private void restart(LabNode node) {
+    private void restart(SimulatedNode node) {
         if (!node.up) {
             node.stalledUntil = 0;
             node.boot();
--- a/src/main/java/gorserill/cluster/lab/LabShelf.java
+++ b/src/main/java/gorserill/cluster/lab/SimulatedShelf.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 /** A shelf that loses at a crash what was not flushed, and can be made to fail or to forget. */
-final class LabShelf implements Shelf {
+final class SimulatedShelf implements Shelf {
     private SortedMap<String, String> kept = new TreeMap<>();
     private SortedMap<String, String> now = new TreeMap<>();
     boolean fails;
--- a/src/main/java/gorserill/cluster/lab/Traffic.java
+++ b/src/main/java/gorserill/cluster/lab/Traffic.java
@@ -59,7 +59,7 @@
     }
 
     /** A node had a role for so long. */
-    public void spent(Role role, long millis) {
+    public void addRoleTime(Role role, long millis) {
         nodeMillis.merge(role, millis, Long::sum);
     }
 
--- a/src/main/java/gorserill/cluster/member/LeaderService.java
+++ b/src/main/java/gorserill/cluster/member/LeaderService.java
@@ -305,7 +305,7 @@
                 budgets.addObject()
                         .put("budget", name)
                         .put("has", part.has)
-                        .put("due", register.parts().due(name).get(to))
+                        .put("due", register.parts().fairShares(name).get(to))
                         .put("turn", part.turn);
             }
         });
--- a/src/main/java/gorserill/cluster/member/Member.java
+++ b/src/main/java/gorserill/cluster/member/Member.java
@@ -10,7 +10,7 @@
 import gorserill.cluster.consensus.Voter;
 import gorserill.cluster.ownership.Entry;
 import gorserill.cluster.ownership.Register;
-import gorserill.cluster.shared.Spender;
+import gorserill.cluster.shared.BudgetClient;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -125,7 +125,7 @@
     private int leaderAt;
     private int ways;
     private List<String> seats;
-    private Spender spender;
+    private BudgetClient spender;
     private String leader;
     private long life;
     private long asOf = -1;
@@ -308,13 +308,13 @@
     }
 
     /** The node's side of the budgets; to be told before the member starts. */
-    public void spender(Spender its) {
+    public void spender(BudgetClient its) {
         spender = its;
     }
 
     /** How the spender sees this member. */
-    public Spender.Link spends() {
-        return new Spender.Link() {
+    public BudgetClient.MemberLink spends() {
+        return new BudgetClient.MemberLink() {
             @Override
             public long life() {
                 return life;
@@ -326,7 +326,7 @@
             }
 
             @Override
-            public void say(String budget, int wants, int keeps, long turn, IntConsumer then) {
+            public void request(String budget, int wants, int keeps, long turn, IntConsumer then) {
                 ask(
                         new Entry.RequestBudget(terms.node(), life, budget, wants, keeps, turn),
                         answer -> then.accept(answer == null || !answer.done() ? -1 : (int) answer.number()),
@@ -337,7 +337,7 @@
 
     private void spend() {
         if (spender != null) {
-            spender.viewed(JSON.createArrayNode());
+            spender.applyView(JSON.createArrayNode());
         }
     }
 
@@ -520,7 +520,7 @@
             alone = Math.max(alone, leaseUntil);
         }
         if (spender != null) {
-            spender.viewed(view.path("budgets"));
+            spender.applyView(view.path("budgets"));
         }
         if (inLease()) {
             hold(view.path("pieces"));
--- a/src/main/java/gorserill/cluster/ownership/Register.java
+++ b/src/main/java/gorserill/cluster/ownership/Register.java
@@ -218,7 +218,7 @@
         } else if (entry instanceof Entry.RequestBudgets all) {
             return new Answers(all.each().stream().map(this::requestBudget).toList());
         } else if (entry instanceof Entry.Bury bury) {
-            return state.parts.bury(bury.ghost()) ? Answer.yes(index) : Answer.no("it is buried");
+            return state.parts.releaseGhost(bury.ghost()) ? Answer.yes(index) : Answer.no("it is buried");
         } else if (entry instanceof Entry.Release release) {
             return state.out.remove(release.node()) != null ? Answer.yes(0) : Answer.no("it is not out");
         }
@@ -278,7 +278,7 @@
             return Answer.no("that life is over");
         }
         state.nodes.remove(name);
-        state.parts.over(name, life, why.equals(REPLACED));
+        state.parts.endLife(name, life, why.equals(REPLACED));
         if (why.equals(UNHEARD) && state.out.size() < NAMES) {
             state.out.putIfAbsent(name, UNHEARD);
         }
@@ -364,7 +364,7 @@
         Node node = state.nodes.get(request.node());
         return node == null || node.life != request.life()
                 ? Answer.no("that life is over")
-                : Answer.yes(state.parts.say(
+                : Answer.yes(state.parts.request(
                         request.node(),
                         request.budget(),
                         request.wants(),
--- a/src/main/java/gorserill/cluster/shared/Allowance.java
+++ b/src/main/java/gorserill/cluster/shared/Allowance.java
@@ -3,11 +3,11 @@
 /**
  * What a node may spend of a budget until its lease is over, and after that.
  *
- * @param until by the member's clock, milliseconds
+ * @param validUntil by the member's clock, milliseconds
  */
-public record Allowance(Budget budget, int thousandths, long until) {
+public record Allowance(Budget budget, int thousandths, long validUntil) {
     /** The part of the whole that it may spend now. */
     public double share(long now) {
-        return budget.share(now < until ? thousandths : 0);
+        return budget.share(now < validUntil ? thousandths : 0);
     }
 }
--- a/src/main/java/gorserill/cluster/shared/Budget.java
+++ b/src/main/java/gorserill/cluster/shared/Budget.java
@@ -27,20 +27,21 @@
 
     /** The part of the whole that a node has with so many thousandths of what is given out. */
     double share(int thousandths) {
-        return floor() + (1 - floorPercent / 100.0) * thousandths / BudgetShares.WHOLE;
+        return floor() + (1 - floorPercent / 100.0) * thousandths / BudgetShares.WHOLE_THOUSANDTHS;
     }
 
     /** The thousandths that a node needs to spend so much a second. */
-    int needs(double jobsPerSecond) {
+    int thousandthsFor(double jobsPerSecond) {
         double beyond = jobsPerSecond / perSecond - floor();
         double given = 1 - floorPercent / 100.0;
         return beyond <= 0 || given <= 0
                 ? 0
-                : (int) Math.min(BudgetShares.WHOLE, Math.ceil(beyond / given * BudgetShares.WHOLE));
+                : (int) Math.min(
+                        BudgetShares.WHOLE_THOUSANDTHS, Math.ceil(beyond / given * BudgetShares.WHOLE_THOUSANDTHS));
     }
 
     /** Whether a job counts. */
-    public boolean counts(int itsClass, int itsTenant) {
+    public boolean appliesTo(int itsClass, int itsTenant) {
         return (jobClass < 0 || jobClass == itsClass) && (tenant < 0 || tenant == itsTenant);
     }
 }
--- a/src/main/java/gorserill/cluster/shared/Spender.java
+++ b/src/main/java/gorserill/cluster/shared/BudgetClient.java
@@ -13,7 +13,7 @@
  * A node's side of the budgets: it asks for as much as it is asked for, keeps no more than its due, and
  * spends no more than the log says it has. On the member's thread.
  */
-public final class Spender {
+public final class BudgetClient {
     /** Wanted beyond what is spent, so that a part can grow. */
     private static final double ROOM = 1.2;
     /** Thousandths by which a wish must change to be told, at the most. */
@@ -22,7 +22,7 @@
     private static final int WORTH_TELLING_PART = 4;
 
     /** The member, as the spender sees it. */
-    public interface Link {
+    public interface MemberLink {
         /** 0 where this node has no life in the register. */
         long life();
 
@@ -30,7 +30,7 @@
         long leaseUntil();
 
         /** Says what is wanted and kept; the answer is what this node has, or -1 where none came. */
-        void say(String budget, int wants, int keeps, long turn, IntConsumer then);
+        void request(String budget, int wants, int keeps, long turn, IntConsumer then);
     }
 
     private static final class Held {
@@ -46,7 +46,7 @@
         /** The turn as of which the due was told; it says nothing of later ones. */
         long dueAsOf;
         /** No more than this until the word that said so is known to be in the log, or never to come. */
-        int cap = BudgetShares.WHOLE;
+        int cap = BudgetShares.WHOLE_THOUSANDTHS;
 
         boolean asking;
 
@@ -56,7 +56,7 @@
     }
 
     private final Ground ground;
-    private final Link link;
+    private final MemberLink link;
     private final long beat;
     private final long grace;
     private final boolean givesBackLate;
@@ -69,10 +69,10 @@
      * @param givesBackLate a fault that can be planted: a part is spent until its return is in the log
      * @param out where what may be spent goes, each time that it changes
      */
-    public Spender(
+    public BudgetClient(
             List<Budget> budgets,
             Ground ground,
-            Link link,
+            MemberLink link,
             long beat,
             long lease,
             boolean givesBackLate,
@@ -91,7 +91,7 @@
     }
 
     /** How many jobs a second were asked for, admitted or not. */
-    public void demand(String budget, double perSecond) {
+    public void updateDemand(String budget, double perSecond) {
         Held its = held.get(budget);
         if (its != null) {
             its.demand = perSecond;
@@ -99,7 +99,7 @@
     }
 
     /** What a leader says that this node has. */
-    public void viewed(JsonNode budgets) {
+    public void applyView(JsonNode budgets) {
         for (JsonNode one : budgets) {
             Held its = held.get(one.path("budget").asText());
             if (its == null) {
@@ -115,7 +115,7 @@
                 its.due = one.path("due").asInt();
                 its.dueAsOf = turn;
                 if (turn >= its.turn) {
-                    its.cap = BudgetShares.WHOLE;
+                    its.cap = BudgetShares.WHOLE_THOUSANDTHS;
                 }
             }
         }
@@ -132,7 +132,7 @@
             its.turn = 0;
             its.heard = 0;
             its.dueAsOf = 0;
-            its.cap = BudgetShares.WHOLE;
+            its.cap = BudgetShares.WHOLE_THOUSANDTHS;
             its.asking = false;
         }
     }
@@ -140,14 +140,14 @@
     private void look() {
         for (Held its : held.values()) {
             renewLife(its);
-            int wants = its.budget.needs(its.demand * ROOM);
+            int wants = its.budget.thousandthsFor(its.demand * ROOM);
             // Danger: the due of before a wish would have what the wish has brought given back.
-            int due = its.dueAsOf >= its.turn ? its.due : BudgetShares.WHOLE;
+            int due = its.dueAsOf >= its.turn ? its.due : BudgetShares.WHOLE_THOUSANDTHS;
             int keeps = Math.min(its.has, Math.max(Math.min(wants, due), 0));
             boolean changed = Math.abs(wants - its.wanted) > worthTelling(its.wanted) || wants == 0 && its.wanted > 0;
             if (its.life > 0
                     && !its.asking
-                    && (changed || its.has - due > worthTelling(due) || its.cap < BudgetShares.WHOLE)) {
+                    && (changed || its.has - due > worthTelling(due) || its.cap < BudgetShares.WHOLE_THOUSANDTHS)) {
                 say(its, wants, Math.min(keeps, its.cap));
             }
         }
@@ -165,9 +165,9 @@
         its.asking = true;
         its.wanted = wants;
         // Danger: what is given back may be another's before this node hears of it; so it is let go of first.
-        its.cap = givesBackLate ? BudgetShares.WHOLE : Math.min(its.cap, keeps);
+        its.cap = givesBackLate ? BudgetShares.WHOLE_THOUSANDTHS : Math.min(its.cap, keeps);
         tell();
-        link.say(its.budget.name(), wants, keeps, turn, has -> {
+        link.request(its.budget.name(), wants, keeps, turn, has -> {
             if (its.life != life || its.turn != turn) {
                 return;
             }
@@ -175,7 +175,7 @@
             if (has >= 0 && turn >= its.heard) {
                 its.heard = turn;
                 its.has = has;
-                its.cap = BudgetShares.WHOLE;
+                its.cap = BudgetShares.WHOLE_THOUSANDTHS;
                 tell();
             }
         });
@@ -191,7 +191,7 @@
     }
 
     /** What this node has and is due, by budget, in thousandths. */
-    public Map<String, int[]> figures() {
+    public Map<String, int[]> shareFigures() {
         Map<String, int[]> figures = new TreeMap<>();
         held.forEach((name, its) -> figures.put(name, new int[] {Math.min(its.has, its.cap), its.due, its.wanted}));
         return figures;
--- a/src/main/java/gorserill/cluster/shared/Door.java
+++ b/src/main/java/gorserill/cluster/shared/BudgetLimiter.java
@@ -10,14 +10,14 @@
  * whole, so a change of it is seen by the next job. What is counted is the job's entry: one that its thread
  * is stalled with behind this point was let in before.
  */
-public final class Door {
+public final class BudgetLimiter {
     /** Demand is told so often, microseconds, and follows what was asked for with this weight. */
     private static final long TELLING = 100_000;
 
     private static final double WEIGHT = 0.3;
 
     private static final class Way {
-        final Bucket bucket = new Bucket();
+        final TokenBucket bucket = new TokenBucket();
         final Budget budget;
         int asked;
         double demand;
@@ -39,14 +39,14 @@
      * @param memberMillis the member's clock, by which leases run
      * @param demand is told what was asked for a second, by budget
      */
-    public Door(List<Budget> budgets, LongSupplier memberMillis, BiConsumer<String, Double> demand) {
+    public BudgetLimiter(List<Budget> budgets, LongSupplier memberMillis, BiConsumer<String, Double> demand) {
         budgets.stream().sorted((a, b) -> a.name().compareTo(b.name())).forEach(b -> ways.add(new Way(b)));
         this.memberMillis = memberMillis;
         this.demand = demand;
     }
 
     /** What may be spent from here on; any thread. In the order of the budgets' names. */
-    public synchronized void allows(List<Allowance> all) {
+    public synchronized void updateAllowances(List<Allowance> all) {
         long now = memberMillis.getAsLong();
         for (int i = 0; i < ways.size(); i++) {
             Way way = ways.get(i);
@@ -69,17 +69,17 @@
      * @param micros the time
      * @return 0 where it is; else microseconds after which it may come again
      */
-    public synchronized long enter(long micros, int jobClass, int tenant) {
+    public synchronized long tryAdmit(long micros, int jobClass, int tenant) {
         long member = memberMillis.getAsLong();
         long longest = 0;
         for (int i = 0; i < ways.size(); i++) {
             Way way = ways.get(i);
-            if (way.budget.counts(jobClass, tenant)) {
+            if (way.budget.appliesTo(jobClass, tenant)) {
                 way.asked++;
                 double share = share(i, member);
                 longest = Math.max(
                         longest,
-                        way.bucket.waits(
+                        way.bucket.waitMicros(
                                 micros,
                                 way.budget.perSecond() * Math.min(way.lowest, share),
                                 way.budget.burst() * share));
@@ -87,16 +87,16 @@
             }
         }
         for (Way way : ways) {
-            if (longest == 0 && way.budget.counts(jobClass, tenant)) {
+            if (longest == 0 && way.budget.appliesTo(jobClass, tenant)) {
                 way.bucket.take();
             }
         }
-        tellDemand(micros);
+        reportDemand(micros);
         return longest;
     }
 
     /** To be called now and then also while no job comes. */
-    public synchronized void tellDemand(long micros) {
+    public synchronized void reportDemand(long micros) {
         if (toldAt == Long.MIN_VALUE) {
             toldAt = micros;
         } else if (micros - toldAt >= TELLING) {
--- a/src/main/java/gorserill/cluster/shared/BudgetShares.java
+++ b/src/main/java/gorserill/cluster/shared/BudgetShares.java
@@ -10,7 +10,7 @@
  */
 public final class BudgetShares {
     /** Thousandths. */
-    public static final int WHOLE = 1_000;
+    public static final int WHOLE_THOUSANDTHS = 1_000;
 
     private static final int BUDGETS = 256;
     private static final int GHOSTS = 1_000;
@@ -41,7 +41,7 @@
      * @param over whether the sum is not looked at: a fault that can be planted
      * @return what the node has
      */
-    public int say(String node, String budget, int wants, int keeps, long turn, boolean over) {
+    public int request(String node, String budget, int wants, int keeps, long turn, boolean over) {
         if (!parts.containsKey(budget) && parts.size() >= BUDGETS) {
             return 0;
         }
@@ -49,7 +49,7 @@
         dues.remove(budget);
         if (turn > part.turn) {
             part.turn = turn;
-            part.wants = Math.max(0, Math.min(WHOLE, wants));
+            part.wants = Math.max(0, Math.min(WHOLE_THOUSANDTHS, wants));
             part.has = Math.min(part.has, Math.max(0, keeps));
             spread(budget, over);
         }
@@ -58,11 +58,11 @@
 
     /** What nobody has goes to those that have less than they are due. */
     private void spread(String budget, boolean over) {
-        int free = free(budget);
+        int free = unassigned(budget);
         if (free <= 0 && !over) {
             return;
         }
-        Map<String, Integer> due = due(budget);
+        Map<String, Integer> due = fairShares(budget);
         for (Map.Entry<String, Share> each : parts.get(budget).entrySet()) {
             Share part = each.getValue();
             int more = over ? part.wants - part.has : Math.min(due.get(each.getKey()) - part.has, free);
@@ -72,11 +72,11 @@
     }
 
     /** What nobody has. */
-    public int free(String budget) {
+    public int unassigned(String budget) {
         int gone = ghosts.values().stream()
                 .mapToInt(its -> its.getOrDefault(budget, 0))
                 .sum();
-        return WHOLE
+        return WHOLE_THOUSANDTHS
                 - gone
                 - parts.getOrDefault(budget, new TreeMap<>()).values().stream()
                         .mapToInt(part -> part.has)
@@ -87,14 +87,14 @@
      * What each node is due: what it wants, or as much as any other that wants more (max-min fairness;
      * Bertsekas and Gallager, 1992, section 6.5.2).
      */
-    public Map<String, Integer> due(String budget) {
+    public Map<String, Integer> fairShares(String budget) {
         return dues.computeIfAbsent(budget, this::share);
     }
 
     private Map<String, Integer> share(String budget) {
         Map<String, Share> its = parts.getOrDefault(budget, new TreeMap<>());
         Map<String, Integer> due = new TreeMap<>();
-        int left = WHOLE;
+        int left = WHOLE_THOUSANDTHS;
         int nodes = its.size();
         for (Map.Entry<String, Share> one : its.entrySet().stream()
                 .sorted(Map.Entry.comparingByValue((a, b) -> Integer.compare(a.wants, b.wants)))
@@ -111,7 +111,7 @@
      *
      * @param mayGoOn whether its process may still spend, as it was not said to have ended
      */
-    public void over(String node, long life, boolean mayGoOn) {
+    public void endLife(String node, long life, boolean mayGoOn) {
         TreeMap<String, Integer> had = new TreeMap<>();
         dues.clear();
         parts.forEach((budget, its) -> {
@@ -128,7 +128,7 @@
     }
 
     /** What was a life's may go to others by now. */
-    public boolean bury(String ghost) {
+    public boolean releaseGhost(String ghost) {
         TreeMap<String, Integer> had = ghosts.remove(ghost);
         if (had != null) {
             had.keySet().stream().filter(parts::containsKey).forEach(budget -> spread(budget, false));
--- a/src/main/java/gorserill/cluster/shared/Retries.java
+++ b/src/main/java/gorserill/cluster/shared/RetryBudget.java
@@ -6,7 +6,7 @@
  * needs to be heard for it. It begins with nothing, so a restart gives nothing away. Danger: without it a
  * lost zone multiplies what the rest has to bear, and the storm feeds on itself when the zone is back.
  */
-public final class Retries {
+public final class RetryBudget {
     private final double part;
     private final double most;
     private double earned;
@@ -15,18 +15,18 @@
      * @param part further attempts for each first one
      * @param most that can be saved up for a bad moment
      */
-    public Retries(double part, double most) {
+    public RetryBudget(double part, double most) {
         this.part = part;
         this.most = most;
     }
 
     /** A first attempt is made. */
-    public void first() {
+    public void recordFirstAttempt() {
         earned = Math.min(most, earned + part);
     }
 
     /** Whether a further one may be; then it is counted. */
-    public boolean again() {
+    public boolean tryRetry() {
         if (earned < 1) {
             return false;
         }
--- a/src/main/java/gorserill/cluster/shared/Bucket.java
+++ b/src/main/java/gorserill/cluster/shared/TokenBucket.java
@@ -5,7 +5,7 @@
  * rate and depth are the node's part. It begins empty. Danger: one that began full would give a process that
  * is killed again and again a burst each time.
  */
-public final class Bucket {
+public final class TokenBucket {
     private double tokens;
     private long filledAt = Long.MIN_VALUE;
 
@@ -27,7 +27,7 @@
      * @param burst the depth; at least a job's, or a small part would never let one in
      * @return 0 where it may; else microseconds until it could
      */
-    public long waits(long micros, double perSecond, double burst) {
+    public long waitMicros(long micros, double perSecond, double burst) {
         fill(micros, perSecond, Math.max(1, burst));
         return tokens >= 1
                 ? 0
--- a/src/main/java/gorserill/cluster/standing/StandingJob.java
+++ b/src/main/java/gorserill/cluster/standing/StandingJob.java
@@ -11,47 +11,47 @@
  * @param name of the piece of work that it is
  * @param jobClass the class's name
  * @param body what workers are sent
- * @param every milliseconds between two times; 0 where it is a time of day
- * @param at the time of day, in {@code zone}; null where it comes at intervals
- * @param missed what becomes of times that passed while nobody could act
- * @param late milliseconds after which a time that was not acted on counts as missed
- * @param again whether an act of unknown end may be done once more: its class allows it
+ * @param intervalMs milliseconds between two times; 0 where it is a time of day
+ * @param timeOfDay the time of day, in {@code zone}; null where it comes at intervals
+ * @param missedPolicy what becomes of times that passed while nobody could act
+ * @param latenessLimitMs milliseconds after which a time that was not acted on counts as missed
+ * @param repeatable whether an act of unknown end may be done once more: its class allows it
  */
 public record StandingJob(
         String name,
         String jobClass,
         String body,
-        long every,
-        LocalTime at,
+        long intervalMs,
+        LocalTime timeOfDay,
         ZoneId zone,
-        Missed missed,
-        long late,
-        boolean again) {
+        MissedPolicy missedPolicy,
+        long latenessLimitMs,
+        boolean repeatable) {
     /** SKIP: they are left out. LAST: the last of them is made up for. ALL: each, the oldest first. */
-    public enum Missed {
+    public enum MissedPolicy {
         SKIP,
         LAST,
         ALL
     }
 
     /** The number of the last time that is not after this moment, Unix milliseconds. */
-    public long number(long now) {
-        if (at == null) {
-            return Math.floorDiv(now, every);
+    public long occurrenceAt(long now) {
+        if (timeOfDay == null) {
+            return Math.floorDiv(now, intervalMs);
         }
         ZonedDateTime here = Instant.ofEpochMilli(now).atZone(zone);
         long day = here.toLocalDate().toEpochDay();
         // Danger: on the day that clocks are put forward the time may not be there; it then is the next there
         // is.
-        return time(day) <= now ? day : day - 1;
+        return timeOf(day) <= now ? day : day - 1;
     }
 
     /** When a time of that number is, Unix milliseconds. */
-    public long time(long number) {
-        return at == null
-                ? number * every
+    public long timeOf(long number) {
+        return timeOfDay == null
+                ? number * intervalMs
                 : java.time.LocalDate.ofEpochDay(number)
-                        .atTime(at)
+                        .atTime(timeOfDay)
                         .atZone(zone)
                         .toInstant()
                         .toEpochMilli();
--- a/src/main/java/gorserill/cluster/standing/Standing.java
+++ b/src/main/java/gorserill/cluster/standing/StandingJobScheduler.java
@@ -17,9 +17,9 @@
  * must never run twice it is fired once at the most, of any other once at least and, by its key, once in
  * effect. All of it runs on the member's thread.
  */
-public final class Standing implements Duty {
+public final class StandingJobScheduler implements Duty {
     /** What became of a job that was handed over. */
-    public enum End {
+    public enum JobResult {
         SERVED,
         /** It never ran, and may be tried again. */
         REFUSED,
@@ -29,13 +29,13 @@
     /** Hands a job to the node; the end is told once, on the member's thread. */
     @FunctionalInterface
     public interface Runner {
-        void run(StandingJob job, long time, long epoch, int attempt, Consumer<End> then);
+        void run(StandingJob job, long time, long epoch, int attempt, Consumer<JobResult> then);
     }
 
     /** Hears what is done, for the log. */
     @FunctionalInterface
-    public interface Teller {
-        void tell(String job, long number, long epoch, String what);
+    public interface EventListener {
+        void onEvent(String job, long number, long epoch, String what);
     }
 
     /** A job that is refused is tried again after so long, so often. */
@@ -70,24 +70,25 @@
     private final Ground ground;
     private final LongSupplier unix;
     private final Runner runner;
-    private final Teller teller;
+    private final EventListener listener;
     private Member member;
 
     /** @param unix milliseconds of Unix time, for the times alone: no promise rests on it */
-    public Standing(List<StandingJob> all, Ground ground, LongSupplier unix, Runner runner, Teller teller) {
+    public StandingJobScheduler(
+            List<StandingJob> all, Ground ground, LongSupplier unix, Runner runner, EventListener listener) {
         all.forEach(job -> jobs.put(job.name(), job));
         this.ground = ground;
         this.unix = unix;
         this.runner = runner;
-        this.teller = teller;
+        this.listener = listener;
     }
 
     /** The member that claims; to be told before it starts. */
-    public void member(Member its) {
+    public void setMember(Member its) {
         member = its;
     }
 
-    public List<String> names() {
+    public List<String> jobNames() {
         return List.copyOf(jobs.keySet());
     }
 
@@ -97,15 +98,15 @@
         if (job == null) {
             return;
         }
-        long now = job.number(unix.getAsLong());
+        long now = job.occurrenceAt(unix.getAsLong());
         Owned its = new Owned(job, epoch, last > 0 ? last : now);
         owned.put(piece, its);
-        teller.tell(piece, last, epoch, "owned from here on");
+        listener.onEvent(piece, last, epoch, "owned from here on");
         for (long act : unknown) {
-            if (job.again()) {
+            if (job.repeatable()) {
                 again(its, act);
             } else {
-                teller.tell(piece, act, epoch, "may have run, and is not run again");
+                listener.onEvent(piece, act, epoch, "may have run, and is not run again");
                 member.done(piece, epoch, act);
             }
         }
@@ -127,21 +128,21 @@
         }
         StandingJob job = its.job;
         long now = unix.getAsLong();
-        long newest = job.number(now);
+        long newest = job.occurrenceAt(now);
         long number = its.done + 1;
         if (number > newest) {
-            ground.after(Math.max(1, Math.min(LONGEST_SLEEP, job.time(newest + 1) - now)), () -> next(its));
+            ground.after(Math.max(1, Math.min(LONGEST_SLEEP, job.timeOf(newest + 1) - now)), () -> next(its));
         } else if (newest - number > CAUGHT_UP) {
             its.done = newest - CAUGHT_UP;
-            teller.tell(job.name(), number, its.epoch, "missed, and left out: all until " + its.done);
+            listener.onEvent(job.name(), number, its.epoch, "missed, and left out: all until " + its.done);
             next(its);
-        } else if (now - job.time(number) <= job.late()
-                || job.missed() == StandingJob.Missed.ALL
-                || job.missed() == StandingJob.Missed.LAST && number == newest) {
+        } else if (now - job.timeOf(number) <= job.latenessLimitMs()
+                || job.missedPolicy() == StandingJob.MissedPolicy.ALL
+                || job.missedPolicy() == StandingJob.MissedPolicy.LAST && number == newest) {
             claim(its, number);
         } else {
             its.done = number;
-            teller.tell(job.name(), number, its.epoch, "missed, and left out");
+            listener.onEvent(job.name(), number, its.epoch, "missed, and left out");
             next(its);
         }
     }
@@ -176,7 +177,7 @@
 
     /** As long as the piece is this node's under this epoch; after that its next owner sees to it. */
     private void retry(Owned its, long number, Claimed answer, Runnable what) {
-        teller.tell(its.job.name(), number, its.epoch, "not claimed: " + answer);
+        listener.onEvent(its.job.name(), number, its.epoch, "not claimed: " + answer);
         over(its);
         ground.after(AGAIN_CLAIM, () -> {
             if (owned.get(its.job.name()) == its && its.whenIdle == null) {
@@ -187,21 +188,21 @@
 
     private void claimed(Owned its, long number, Claimed answer, String how) {
         if (answer == Claimed.YES) {
-            teller.tell(its.job.name(), number, its.epoch, how);
+            listener.onEvent(its.job.name(), number, its.epoch, how);
             run(its, number, 0);
         } else {
-            teller.tell(its.job.name(), number, its.epoch, "not claimed: " + answer);
+            listener.onEvent(its.job.name(), number, its.epoch, "not claimed: " + answer);
             over(its);
         }
     }
 
     private void run(Owned its, long number, int tries) {
-        runner.run(its.job, its.job.time(number), its.epoch, tries, end -> {
-            if (end == End.REFUSED && tries < TRIES) {
+        runner.run(its.job, its.job.timeOf(number), its.epoch, tries, end -> {
+            if (end == JobResult.REFUSED && tries < TRIES) {
                 ground.after(AGAIN, () -> run(its, number, tries + 1));
                 return;
             }
-            teller.tell(its.job.name(), number, its.epoch, end.toString());
+            listener.onEvent(its.job.name(), number, its.epoch, end.toString());
             member.done(its.job.name(), its.epoch, number);
             over(its);
         });
@@ -229,7 +230,7 @@
         Owned its = owned.get(piece);
         if (its != null && its.epoch == epoch) {
             owned.remove(piece);
-            teller.tell(piece, its.done, epoch, "owned no more");
+            listener.onEvent(piece, its.done, epoch, "owned no more");
         }
     }
 }
--- a/src/main/java/gorserill/program/ClusterConfig.java
+++ b/src/main/java/gorserill/program/ClusterConfig.java
@@ -300,7 +300,7 @@
                 every,
                 time,
                 zone,
-                StandingJob.Missed.valueOf(missed.toUpperCase(java.util.Locale.ROOT)),
+                StandingJob.MissedPolicy.valueOf(missed.toUpperCase(java.util.Locale.ROOT)),
                 number(file, values, at + "late_ms", daily ? 60_000 : every, 1, 86_400_000),
                 !terms.unsafe());
     }
--- a/src/main/java/gorserill/program/ClusterPart.java
+++ b/src/main/java/gorserill/program/ClusterPart.java
@@ -4,18 +4,18 @@
 import barrowflow.Dispatcher.Settings;
 import gorserill.cluster.BadMessage;
 import gorserill.cluster.Ground;
-import gorserill.cluster.address.Address;
+import gorserill.cluster.address.ServiceAddress;
 import gorserill.cluster.consensus.DiskShelf;
 import gorserill.cluster.member.Duty;
 import gorserill.cluster.member.Member;
 import gorserill.cluster.member.Terms;
 import gorserill.cluster.ownership.Register;
-import gorserill.cluster.shared.Door;
-import gorserill.cluster.shared.Retries;
-import gorserill.cluster.shared.Spender;
-import gorserill.cluster.standing.Standing;
-import gorserill.cluster.standing.Standing.End;
+import gorserill.cluster.shared.BudgetClient;
+import gorserill.cluster.shared.BudgetLimiter;
+import gorserill.cluster.shared.RetryBudget;
 import gorserill.cluster.standing.StandingJob;
+import gorserill.cluster.standing.StandingJobScheduler;
+import gorserill.cluster.standing.StandingJobScheduler.JobResult;
 import gorserill.common.Loop;
 import gorserill.routing.AdmissionControl;
 import gorserill.routing.Core;
@@ -67,11 +67,11 @@
     private final DiskShelf shelf;
     private final Member member;
     /** Null where none is announced. */
-    private final Address address;
+    private final ServiceAddress address;
     /** Null where no budget is told. */
-    private final Door door;
+    private final BudgetLimiter door;
 
-    private final Spender spender;
+    private final BudgetClient spender;
     /** Addresses by name, as the file has them at present. */
     private Map<String, InetSocketAddress> members;
     /** Where nodes that no file names were heard from. */
@@ -103,9 +103,10 @@
         } else {
             shelf = null;
         }
-        Standing standing = new Standing(config.jobs(), this, System::currentTimeMillis, this::run, this::tell);
+        StandingJobScheduler standing =
+                new StandingJobScheduler(config.jobs(), this, System::currentTimeMillis, this::run, this::tell);
         Map<String, Duty> duties = new LinkedHashMap<>();
-        standing.names().forEach(name -> duties.put(name, standing));
+        standing.jobNames().forEach(name -> duties.put(name, standing));
         address = config.address() == null ? null : address(config.address());
         if (address != null) {
             duties.put(ClusterConfig.ADDRESS, address);
@@ -133,17 +134,17 @@
             }
             throw new IOException(config.listen() + ": " + e.getMessage(), e);
         }
-        standing.member(member);
+        standing.setMember(member);
         if (!config.budgets().isEmpty()) {
-            door = new Door(config.budgets(), this::millis, this::demand);
-            spender = new Spender(
+            door = new BudgetLimiter(config.budgets(), this::millis, this::demand);
+            spender = new BudgetClient(
                     config.budgets(),
                     this,
                     member.spends(),
                     config.lease() / 10,
                     config.lease(),
                     config.plants().contains(Member.Plant.GIVES_BACK_LATE),
-                    door::allows);
+                    door::updateAllowances);
             member.spender(spender);
         } else {
             door = null;
@@ -153,7 +154,7 @@
             core.setAdmissionControl(entry(door));
         }
         if (address != null) {
-            address.member(member);
+            address.setMember(member);
         }
         if (!config.plants().isEmpty()) {
             LOG.log(Level.SEVERE, "{0} runs with a planted fault, for a drill: {1}", new Object[] {node, config.plants()
@@ -161,8 +162,8 @@
         }
     }
 
-    private Address address(ClusterConfig.Announced its) {
-        return new Address(
+    private ServiceAddress address(ClusterConfig.Announced its) {
+        return new ServiceAddress(
                 its.value(),
                 its.refresh(),
                 this,
@@ -193,34 +194,34 @@
     }
 
     /** How the core asks; on its thread. */
-    private AdmissionControl entry(Door budgets) {
-        Retries retries = config.retries() == null || config.plants().contains(Member.Plant.RETRIES_UNBOUNDED)
+    private AdmissionControl entry(BudgetLimiter budgets) {
+        RetryBudget retries = config.retries() == null || config.plants().contains(Member.Plant.RETRIES_UNBOUNDED)
                 ? null
-                : new Retries(
+                : new RetryBudget(
                         config.retries().percent() / 100.0, config.retries().saved());
         return new AdmissionControl() {
             @Override
             public long admissionDelay(long now, int jobClass, int tenant) {
-                return budgets == null ? 0 : budgets.enter(now, jobClass, tenant);
+                return budgets == null ? 0 : budgets.tryAdmit(now, jobClass, tenant);
             }
 
             @Override
             public boolean mayAttempt(boolean first) {
                 if (retries != null && first) {
-                    retries.first();
+                    retries.recordFirstAttempt();
                 }
-                return retries == null || first || retries.again();
+                return retries == null || first || retries.tryRetry();
             }
         };
     }
 
     private void demand(String budget, double perSecond) {
-        loop.execute(() -> spender.demand(budget, perSecond));
+        loop.execute(() -> spender.updateDemand(budget, perSecond));
     }
 
     /** Where no job comes any more, that has to be told as well. */
     private void tellDemand() {
-        door.tellDemand(coreLoop.now());
+        door.reportDemand(coreLoop.now());
         coreLoop.at(coreLoop.now() + DEMAND, this::tellDemand);
     }
 
@@ -277,7 +278,7 @@
         } else if (member.owns(ClusterConfig.ADDRESS)) {
             after(HANDING_STEP, () -> untilHandedOver(until, then));
         } else {
-            address.elsewhere(so -> {
+            address.checkAnnouncedElsewhere(so -> {
                 if (so) {
                     then.accept(true);
                 } else {
@@ -412,10 +413,10 @@
         });
     }
 
-    private void run(StandingJob job, long time, long epoch, int attempt, Consumer<End> then) {
+    private void run(StandingJob job, long time, long epoch, int attempt, Consumer<JobResult> then) {
         int index = classNames.indexOf(job.jobClass());
         String key = "standing-" + job.name() + "-" + time;
-        Consumer<End> back = end -> loop.execute(() -> then.accept(end));
+        Consumer<JobResult> back = end -> loop.execute(() -> then.accept(end));
         coreLoop.execute(() -> {
             String id = key + "-" + attempt + "-" + Long.toHexString(System.nanoTime());
             boolean keyed = settings.classes().get(index).effect() == Effect.KEYED;
@@ -442,20 +443,20 @@
         });
     }
 
-    private record Answering(Consumer<End> to) implements ResponseHandler {
+    private record Answering(Consumer<JobResult> to) implements ResponseHandler {
         @Override
         public void served(byte[] result) {
-            to.accept(End.SERVED);
+            to.accept(JobResult.SERVED);
         }
 
         @Override
         public void refused(long waitMicros) {
-            to.accept(End.REFUSED);
+            to.accept(JobResult.REFUSED);
         }
 
         @Override
         public void failed() {
-            to.accept(End.FAILED);
+            to.accept(JobResult.FAILED);
         }
     }
 }
--- a/src/main/java/gorserill/program/ClusterView.java
+++ b/src/main/java/gorserill/program/ClusterView.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gorserill.cluster.member.Member;
 import gorserill.cluster.ownership.Register;
-import gorserill.cluster.shared.Spender;
+import gorserill.cluster.shared.BudgetClient;
 import java.util.Set;
 
 /** What staff see of the cluster from one node: rows of some kinds, as lines of text or as JSON. */
@@ -24,7 +24,7 @@
     private final ObjectNode rows = JsonNodeFactory.instance.objectNode();
 
     /** @param now by the member's clock */
-    ClusterView(Member member, String node, long now, Spender spender) {
+    ClusterView(Member member, String node, long now, BudgetClient spender) {
         long alone = member.aloneSince();
         String leader = member.leader();
         row("node", node)
@@ -70,7 +70,7 @@
                                 .put("unknown", piece.unknown.size())));
         if (spender != null) {
             boolean lapsed = now >= member.spends().leaseUntil();
-            spender.figures()
+            spender.shareFigures()
                     .forEach((name, its) -> row("spends", name)
                             .put("has", its[0])
                             .put("due", its[1])
--- a/src/main/java/gorserill/program/HttpAnnouncer.java
+++ b/src/main/java/gorserill/program/HttpAnnouncer.java
@@ -42,14 +42,14 @@
                 .connectTimeout(this.patience)
                 .build();
         // Danger: the first use of the client takes so long that a hand-over would wait for it.
-        look(at -> LOG.log(
+        lookUp(at -> LOG.log(
                 at == null ? Level.WARNING : Level.FINE,
                 at == null ? "the registry of the service address does not answer: {0}" : "{0} has {1}",
                 new Object[] {registry, at}));
     }
 
     @Override
-    public void look(Consumer<String> then) {
+    public void lookUp(Consumer<String> then) {
         client.sendAsync(
                         HttpRequest.newBuilder(registry).timeout(patience).build(),
                         HttpResponse.BodyHandlers.ofString())
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void announce(String value, long epoch, Consumer<Told> then) {
+    public void announce(String value, long epoch, Consumer<AnnounceResult> then) {
         HttpRequest request = HttpRequest.newBuilder(registry)
                 .timeout(patience)
                 .header("X-Epoch", Long.toString(epoch))
@@ -71,9 +71,11 @@
         client.sendAsync(request, HttpResponse.BodyHandlers.discarding())
                 .whenComplete((answer, fault) -> thread.execute(() -> then.accept(
                         fault != null
-                                ? Told.UNKNOWN
+                                ? AnnounceResult.UNKNOWN
                                 : answer.statusCode() / 100 == 2
-                                        ? Told.DONE
-                                        : answer.statusCode() == TOO_LATE ? Told.TOO_LATE : Told.UNKNOWN)));
+                                        ? AnnounceResult.DONE
+                                        : answer.statusCode() == TOO_LATE
+                                                ? AnnounceResult.TOO_LATE
+                                                : AnnounceResult.UNKNOWN)));
     }
 }
--- a/src/main/java/gorserill/program/command/DrillCommand.java
+++ b/src/main/java/gorserill/program/command/DrillCommand.java
@@ -1,8 +1,8 @@
 package gorserill.program.command;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import gorserill.cluster.lab.Explorer;
-import gorserill.cluster.lab.Lab;
+import gorserill.cluster.lab.ClusterSimulation;
+import gorserill.cluster.lab.FaultExplorer;
 import gorserill.cluster.lab.Traffic;
 import gorserill.cluster.member.Member;
 import gorserill.program.drill.Drill;
@@ -175,18 +175,19 @@
         if (!plant.isEmpty()) {
             plants.add(named(Member.Plant.class, "--plant", plant));
         }
-        Explorer.Found found = Explorer.run(seed, named(Lab.Scene.class, "--scene", scene), 0, steps, depth, plants);
-        if (found.violated() != null) {
-            System.out.println(found.violated() + "\n  "
+        FaultExplorer.Result found = FaultExplorer.run(
+                seed, named(ClusterSimulation.Scenario.class, "--scene", scene), 0, steps, depth, plants);
+        if (found.violatingFaults() != null) {
+            System.out.println(found.violatingFaults() + "\n  "
                     + String.join("\n  ", found.outcome().history()));
         }
         System.out.println("drill explore seed " + seed + ": "
-                + (found.violated() == null
+                + (found.violatingFaults() == null
                         ? "ok"
                         : "violated: " + found.outcome().violation()) + " (" + found.runs() + " runs, "
                 + found.distinct()
-                + " of them distinct, " + found.acts() + " acts)");
-        return found.violated() == null;
+                + " of them distinct, " + found.actsRun() + " acts)");
+        return found.violatingFaults() == null;
     }
 
     /** The members in virtual time: quicker by a hundred times, and the same from the same seed. */
@@ -194,20 +195,20 @@
         if (nodes < 1 || nodes > LAB_NODES || seconds < 10 || seconds > 600) {
             throw wrong("--nodes is from 1 to " + LAB_NODES + " there, --seconds from 10 to 600");
         }
-        Set<Lab.Fault> kinds = EnumSet.noneOf(Lab.Fault.class);
+        Set<ClusterSimulation.Fault> kinds = EnumSet.noneOf(ClusterSimulation.Fault.class);
         if (faults == null) {
-            kinds.addAll(EnumSet.allOf(Lab.Fault.class));
+            kinds.addAll(EnumSet.allOf(ClusterSimulation.Fault.class));
         } else {
-            faults.forEach(fault -> kinds.add(named(Lab.Fault.class, "--faults", fault)));
+            faults.forEach(fault -> kinds.add(named(ClusterSimulation.Fault.class, "--faults", fault)));
         }
         Set<Member.Plant> plants = EnumSet.noneOf(Member.Plant.class);
         if (!plant.isEmpty()) {
             plants.add(named(Member.Plant.class, "--plant", plant));
         }
         PrintStream out = System.out;
-        Lab.Sum sum = new Lab.Sum();
+        ClusterSimulation.RunSummary sum = new ClusterSimulation.RunSummary();
         LongStream.rangeClosed(range[0], range[1]).parallel().forEach(s -> {
-            Lab.Outcome outcome = Lab.run(new Lab.Plan(
+            ClusterSimulation.Outcome outcome = ClusterSimulation.run(new ClusterSimulation.Plan(
                     nodes, nodes >= 5 && nodes % 2 == 1 ? 5 : Math.min(3, nodes), seconds, s, kinds, plants));
             if (sum.add(outcome)) {
                 out.println("drill lab seed " + s + ": violated: " + outcome.violation() + "\n  "
--- a/src/main/java/gorserill/program/scale/HollowNode.java
+++ b/src/main/java/gorserill/program/scale/HollowNode.java
@@ -5,7 +5,7 @@
 import gorserill.cluster.member.Duty;
 import gorserill.cluster.member.Member;
 import gorserill.cluster.shared.Allowance;
-import gorserill.cluster.shared.Spender;
+import gorserill.cluster.shared.BudgetClient;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -24,7 +24,7 @@
     private final DatagramChannel socket = DatagramChannel.open();
     private final ByteBuffer buffer = ByteBuffer.allocate(Member.MOST + 1);
     private final Member member;
-    private final Spender spender;
+    private final BudgetClient spender;
     private boolean joined;
     private int allowed;
 
@@ -49,7 +49,7 @@
         } catch (BadMessage e) {
             throw new IOException(e);
         }
-        spender = new Spender(
+        spender = new BudgetClient(
                 List.of(cluster.budget()),
                 this,
                 member.spends(),
@@ -66,7 +66,7 @@
 
     /** It is asked for so many jobs a second from here on. */
     void demand(int perSecond) {
-        spender.demand(ClusterTerms.budgetName(), perSecond);
+        spender.updateDemand(ClusterTerms.budgetName(), perSecond);
     }
 
     private void spends(List<Allowance> allowances) {
--- a/src/test/java/gorserill/cluster/BudgetSharesProperties.java
+++ b/src/test/java/gorserill/cluster/BudgetSharesProperties.java
@@ -5,9 +5,9 @@
 
 import gorserill.cluster.shared.Allowance;
 import gorserill.cluster.shared.Budget;
+import gorserill.cluster.shared.BudgetLimiter;
 import gorserill.cluster.shared.BudgetShares;
-import gorserill.cluster.shared.Door;
-import gorserill.cluster.shared.Retries;
+import gorserill.cluster.shared.RetryBudget;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.testng.annotations.DataProvider;
@@ -34,28 +34,29 @@
                 case 0 -> {
                     boolean mayGoOn = random.nextBoolean();
                     int had = has(parts, node);
-                    int free = parts.free("b");
-                    parts.over(node, i, mayGoOn);
+                    int free = parts.unassigned("b");
+                    parts.endLife(node, i, mayGoOn);
                     turns[n] = 0;
-                    assertTrue(!mayGoOn || parts.free("b") <= free, "a ghost's part is nobody's yet");
+                    assertTrue(!mayGoOn || parts.unassigned("b") <= free, "a ghost's part is nobody's yet");
                     assertEquals(parts.ghosts.containsKey(node + "@" + i), mayGoOn && had > 0);
                 }
-                case 1 -> parts.ghosts.keySet().stream().findFirst().ifPresent(parts::bury);
+                case 1 -> parts.ghosts.keySet().stream().findFirst().ifPresent(parts::releaseGhost);
                 case 2 -> {
                     int had = has(parts, node);
-                    parts.say(node, "b", 0, 0, Math.max(0, turns[n] - random.nextInt(3)), false);
+                    parts.request(node, "b", 0, 0, Math.max(0, turns[n] - random.nextInt(3)), false);
                     assertEquals(has(parts, node), had, "an older word, late on its way, changes nothing");
                 }
                 default -> {
                     int had = has(parts, node);
-                    int keeps = random.nextBoolean() ? had : random.nextInt(BudgetShares.WHOLE + 1);
-                    parts.say(node, "b", random.nextInt(BudgetShares.WHOLE + 1), keeps, ++turns[n], false);
+                    int keeps = random.nextBoolean() ? had : random.nextInt(BudgetShares.WHOLE_THOUSANDTHS + 1);
+                    parts.request(
+                            node, "b", random.nextInt(BudgetShares.WHOLE_THOUSANDTHS + 1), keeps, ++turns[n], false);
                 }
             }
-            assertTrue(parts.free("b") >= 0, "at step " + i);
+            assertTrue(parts.unassigned("b") >= 0, "at step " + i);
         }
         settle(parts, turns);
-        parts.due("b").forEach((node, due) -> assertEquals(has(parts, node), (int) due, node));
+        parts.fairShares("b").forEach((node, due) -> assertEquals(has(parts, node), (int) due, node));
     }
 
     private static int has(BudgetShares parts, String node) {
@@ -65,15 +66,15 @@
 
     /** All are buried, and each node keeps no more than its due; then nothing that is wanted lies idle. */
     private static void settle(BudgetShares parts, long[] turns) {
-        List.copyOf(parts.ghosts.keySet()).forEach(parts::bury);
+        List.copyOf(parts.ghosts.keySet()).forEach(parts::releaseGhost);
         for (int round = 0; round < 2; round++) {
             for (String node : List.copyOf(parts.parts.get("b").keySet())) {
                 int n = Integer.parseInt(node.substring(1));
-                parts.say(
+                parts.request(
                         node,
                         "b",
                         parts.parts.get("b").get(node).wants,
-                        parts.due("b").get(node),
+                        parts.fairShares("b").get(node),
                         ++turns[n],
                         false);
             }
@@ -88,9 +89,9 @@
         SplittableRandom random = new SplittableRandom(seed);
         Budget budget = new Budget("b", 0, -1, 50, 20, 0, 3, true);
         long[] now = {1};
-        Door[] doors = new Door[3];
+        BudgetLimiter[] doors = new BudgetLimiter[3];
         for (int d = 0; d < 3; d++) {
-            doors[d] = new Door(List.of(budget), () -> now[0] / 1_000, (name, demand) -> {});
+            doors[d] = new BudgetLimiter(List.of(budget), () -> now[0] / 1_000, (name, demand) -> {});
         }
         int holder = 0;
         double level = 0;
@@ -98,12 +99,12 @@
         int in = 0;
         for (; now[0] < 60_000_000; now[0] += 500 + random.nextInt(3_000)) {
             if (random.nextInt(200) == 0) {
-                doors[holder].allows(List.of(new Allowance(budget, 0, 0)));
+                doors[holder].updateAllowances(List.of(new Allowance(budget, 0, 0)));
                 holder = random.nextInt(3);
-                doors[holder].allows(
-                        List.of(new Allowance(budget, BudgetShares.WHOLE, now[0] / 1_000 + random.nextInt(2_000))));
+                doors[holder].updateAllowances(List.of(
+                        new Allowance(budget, BudgetShares.WHOLE_THOUSANDTHS, now[0] / 1_000 + random.nextInt(2_000))));
             }
-            if (doors[random.nextInt(3)].enter(now[0], 0, -1) == 0) {
+            if (doors[random.nextInt(3)].tryAdmit(now[0], 0, -1) == 0) {
                 level = Math.max(0, level - (now[0] - at) / 1e6 * 50) + 1;
                 at = now[0];
                 in++;
@@ -118,15 +119,15 @@
     public void furtherTriesAreAPartOfFirstOnes(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         double part = random.nextDouble();
-        Retries retries = new Retries(part, 1 + random.nextInt(20));
+        RetryBudget retries = new RetryBudget(part, 1 + random.nextInt(20));
         int first = 0;
         int again = 0;
         for (int i = 0; i < 10_000; i++) {
             if (random.nextInt(3) == 0) {
-                retries.first();
+                retries.recordFirstAttempt();
                 first++;
             } else {
-                again += retries.again() ? 1 : 0;
+                again += retries.tryRetry() ? 1 : 0;
             }
             assertTrue(again <= part * first + 1e-6, again + " after " + first);
         }
@@ -137,18 +138,18 @@
     public void aNewProcessBeginsWithNothingAndOneAloneHasItsFloor() {
         Budget budget = new Budget("b", 2, -1, 100, 1_000, 30, 3, true);
         long[] now = {1};
-        Door door = new Door(List.of(budget), () -> now[0] / 1_000, (name, demand) -> {});
-        assertEquals(door.enter(now[0], 1, -1), 0, "jobs of other classes are not counted");
-        assertTrue(door.enter(now[0], 2, -1) > 90_000, "a tenth of 100 a second is its floor: a job in 100 ms");
+        BudgetLimiter door = new BudgetLimiter(List.of(budget), () -> now[0] / 1_000, (name, demand) -> {});
+        assertEquals(door.tryAdmit(now[0], 1, -1), 0, "jobs of other classes are not counted");
+        assertTrue(door.tryAdmit(now[0], 2, -1) > 90_000, "a tenth of 100 a second is its floor: a job in 100 ms");
         int in = 0;
         for (; now[0] < 10_000_000; now[0] += 10_000) {
-            in += door.enter(now[0], 2, -1) == 0 ? 1 : 0;
+            in += door.tryAdmit(now[0], 2, -1) == 0 ? 1 : 0;
         }
         assertTrue(in >= 98 && in <= 101, "floor of ten seconds: " + in);
-        door.allows(List.of(new Allowance(budget, BudgetShares.WHOLE, now[0] / 1_000 + 1_000)));
+        door.updateAllowances(List.of(new Allowance(budget, BudgetShares.WHOLE_THOUSANDTHS, now[0] / 1_000 + 1_000)));
         long before = now[0];
         for (in = 0; now[0] < before + 5_000_000; now[0] += 2_000) {
-            in += door.enter(now[0], 2, -1) == 0 ? 1 : 0;
+            in += door.tryAdmit(now[0], 2, -1) == 0 ? 1 : 0;
         }
         assertTrue(in >= 115 && in <= 125, "a second with 80 a second, then four with 10: " + in);
     }
--- a/src/test/java/gorserill/cluster/LabTest.java
+++ b/src/test/java/gorserill/cluster/LabTest.java
@@ -6,12 +6,12 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import gorserill.cluster.lab.Explorer;
-import gorserill.cluster.lab.Lab;
-import gorserill.cluster.lab.Lab.Fault;
-import gorserill.cluster.lab.Lab.Outcome;
-import gorserill.cluster.lab.Lab.Plan;
-import gorserill.cluster.lab.Lab.Scene;
+import gorserill.cluster.lab.ClusterSimulation;
+import gorserill.cluster.lab.ClusterSimulation.Fault;
+import gorserill.cluster.lab.ClusterSimulation.Outcome;
+import gorserill.cluster.lab.ClusterSimulation.Plan;
+import gorserill.cluster.lab.ClusterSimulation.Scenario;
+import gorserill.cluster.lab.FaultExplorer;
 import gorserill.cluster.lab.MessageKind;
 import gorserill.cluster.lab.Traffic;
 import gorserill.cluster.member.Member.Plant;
@@ -31,7 +31,7 @@
     private static List<Outcome> runs(int nodes, long seeds, Set<Fault> faults, Set<Plant> plants) {
         return LongStream.range(0, seeds)
                 .parallel()
-                .mapToObj(seed -> Lab.run(new Plan(nodes, Math.min(3, nodes), 30, seed, faults, plants)))
+                .mapToObj(seed -> ClusterSimulation.run(new Plan(nodes, Math.min(3, nodes), 30, seed, faults, plants)))
                 .toList();
     }
 
@@ -57,7 +57,7 @@
                     outcome.violation(),
                     "seed " + seed + ": " + outcome.violation() + "\n" + String.join("\n", outcome.history()));
         }
-        assertTrue(outcomes.stream().mapToInt(Outcome::acts).sum() > 100 * seeds, "acts were done");
+        assertTrue(outcomes.stream().mapToInt(Outcome::actsRun).sum() > 100 * seeds, "acts were done");
     }
 
     /**
@@ -66,18 +66,18 @@
      */
     @Test
     public void claimsAreNotHeldUpByTheBudgetsOfTwoHundredNodes() {
-        Outcome outcome =
-                Lab.run(new Plan(200, 3, 2, 1, EnumSet.of(Fault.DRIFT), Set.of(), 2_000, Scene.QUIET, Map.of()));
+        Outcome outcome = ClusterSimulation.run(
+                new Plan(200, 3, 2, 1, EnumSet.of(Fault.DRIFT), Set.of(), 2_000, Scenario.QUIET, Map.of()));
         assertNull(outcome.violation(), outcome.violation() + "\n" + String.join("\n", outcome.history()));
-        assertEquals(outcome.unknown(), 0, "claims of unknown end");
-        assertTrue(outcome.acts() >= PIECES_OF_THE_LAB * (4_000 - 1_000) / 300, outcome.acts() + " acts");
+        assertEquals(outcome.unknownClaims(), 0, "claims of unknown end");
+        assertTrue(outcome.actsRun() >= PIECES_OF_THE_LAB * (4_000 - 1_000) / 300, outcome.actsRun() + " acts");
     }
 
     /** What a leader of many nodes is asked is counted by kind, in the run's traffic. */
     @Test
     public void trafficIsCountedByRoleAndKind() {
-        List<Traffic.Figure> traffic = Lab.run(
-                        new Plan(5, 3, 6, 1, EnumSet.of(Fault.DRIFT), Set.of(), 4_000, Scene.QUIET, Map.of()))
+        List<Traffic.Figure> traffic = ClusterSimulation.run(
+                        new Plan(5, 3, 6, 1, EnumSet.of(Fault.DRIFT), Set.of(), 4_000, Scenario.QUIET, Map.of()))
                 .traffic();
         double sent = rate(traffic, Traffic.Role.LEADER, Traffic.Direction.SENT, MessageKind.VIEW);
         assertEquals(rate(traffic, Traffic.Role.PLAIN, Traffic.Direction.SENT, MessageKind.RENEWAL), 5, 0.5);
@@ -102,17 +102,19 @@
     public void lostVotersAreReplaced() {
         List<Outcome> outcomes = runs(4, 20, EnumSet.of(Fault.FORGET, Fault.MOVE), Set.of());
         assertTrue(
-                outcomes.stream().mapToInt(Outcome::replaced).sum() > 40,
-                "" + outcomes.stream().map(Outcome::replaced).toList());
+                outcomes.stream().mapToInt(Outcome::replacedVoters).sum() > 40,
+                "" + outcomes.stream().map(Outcome::replacedVoters).toList());
     }
 
     /** A link that is cut ends few lives, since what can't go straight goes by another voter. */
     @Test
     public void aDetourSparesMostLives() {
         Set<Fault> link = EnumSet.of(Fault.LINK);
-        int with = runs(9, 20, link, Set.of()).stream().mapToInt(Outcome::lives).sum();
+        int with = runs(9, 20, link, Set.of()).stream()
+                .mapToInt(Outcome::falselyEndedLives)
+                .sum();
         int without = runs(9, 20, link, Set.of(Plant.NO_DETOUR)).stream()
-                .mapToInt(Outcome::lives)
+                .mapToInt(Outcome::falselyEndedLives)
                 .sum();
         assertTrue(without > 20 && 3 * with < without, with + " of " + without);
     }
@@ -120,26 +122,28 @@
     @Test
     public void theSameSeedGivesTheSameRunToTheByte() {
         Plan plan = new Plan(3, 3, 20, 11, ALL, Set.of());
-        Outcome first = Lab.run(plan);
-        assertEquals(Lab.run(plan), first);
-        assertNotEquals(Lab.run(new Plan(3, 3, 20, 12, ALL, Set.of())).fingerprint(), first.fingerprint());
+        Outcome first = ClusterSimulation.run(plan);
+        assertEquals(ClusterSimulation.run(plan), first);
+        assertNotEquals(
+                ClusterSimulation.run(new Plan(3, 3, 20, 12, ALL, Set.of())).fingerprint(), first.fingerprint());
     }
 
     /** Each step of a settled cluster of three is lost, late, stalled or the process's last, by itself. */
     @Test
     public void noSlipAtAnyStepBreaksARule() {
-        for (Scene scene : Scene.values()) {
-            Explorer.Found found = Explorer.run(1, scene, 0, 100, 1, Set.of());
+        for (Scenario scene : Scenario.values()) {
+            FaultExplorer.Result found = FaultExplorer.run(1, scene, 0, 100, 1, Set.of());
             assertNull(
-                    found.violated(),
-                    found.violated() == null
+                    found.violatingFaults(),
+                    found.violatingFaults() == null
                             ? ""
-                            : scene + " " + found.violated() + " "
+                            : scene + " " + found.violatingFaults() + " "
                                     + found.outcome().violation());
-            assertTrue(found.distinct() > 100 && found.acts() > 20_000, found + "");
+            assertTrue(found.distinct() > 100 && found.actsRun() > 20_000, found + "");
         }
         for (Plant plant : Set.of(Plant.CLAIM_SKIPPED, Plant.OWNER_THAT_DOES_NOT_CHECK)) {
-            assertNotNull(Explorer.run(1, Scene.QUIET, 0, 30, 1, Set.of(plant)).violated());
+            assertNotNull(FaultExplorer.run(1, Scenario.QUIET, 0, 30, 1, Set.of(plant))
+                    .violatingFaults());
         }
     }
 
--- a/src/test/java/gorserill/cluster/RegisterTest.java
+++ b/src/test/java/gorserill/cluster/RegisterTest.java
@@ -120,7 +120,7 @@
         Register copy = new Register(Set.of());
         copy.restore(register.snapshot());
         assertEquals(copy.snapshot(), register.snapshot());
-        assertEquals(copy.parts().due("b"), other.parts().due("b"));
+        assertEquals(copy.parts().fairShares("b"), other.parts().fairShares("b"));
     }
 
     @Test
--- a/src/test/java/gorserill/cluster/shared/SpenderTest.java
+++ b/src/test/java/gorserill/cluster/shared/BudgetClientTest.java
@@ -10,12 +10,12 @@
 import org.testng.annotations.Test;
 
 /** What a node asks for of a budget that a hundred nodes share evenly: a few thousandths each. */
-public class SpenderTest {
+public class BudgetClientTest {
     private static final int NODES = 100;
     private static final double PER_SECOND = 1_000;
 
     /** Gives each wish in full, at once. */
-    private static final class Leader implements Spender.Link {
+    private static final class Leader implements BudgetClient.MemberLink {
         final List<Integer> wishes = new ArrayList<>();
 
         @Override
@@ -29,7 +29,7 @@
         }
 
         @Override
-        public void say(String budget, int wants, int keeps, long turn, IntConsumer then) {
+        public void request(String budget, int wants, int keeps, long turn, IntConsumer then) {
             wishes.add(wants);
             then.accept(wants);
         }
@@ -63,7 +63,7 @@
     private final Leader leader = new Leader();
     private final Clock clock = new Clock();
     private final List<Allowance> allowed = new ArrayList<>();
-    private final Spender spender = new Spender(
+    private final BudgetClient spender = new BudgetClient(
             List.of(new Budget("team", -1, -1, PER_SECOND, 10, 20, NODES, true)),
             clock,
             leader,
@@ -76,7 +76,7 @@
             });
 
     private void demand(double perSecond) {
-        spender.demand("team", perSecond);
+        spender.updateDemand("team", perSecond);
         clock.beat();
     }
 
@@ -93,7 +93,7 @@
         assertEquals(leader.wishes.size(), 1, "a change of little is not told");
         demand(PER_SECOND / NODES * 2);
         assertEquals(leader.wishes.size(), 2, "a change of much is");
-        spender.viewed(new ObjectMapper()
+        spender.applyView(new ObjectMapper()
                 .readTree("[{\"budget\":\"team\",\"turn\":2,\"has\":" + leader.wishes.get(1) + ",\"due\":20}]"));
         clock.beat();
         assertEquals(leader.wishes.size(), 3, "what is beyond its due is given back");
--- a/src/test/java/gorserill/measure/LeaderCapacity.java
+++ b/src/test/java/gorserill/measure/LeaderCapacity.java
@@ -8,7 +8,7 @@
 import gorserill.cluster.member.Terms;
 import gorserill.cluster.shared.Allowance;
 import gorserill.cluster.shared.Budget;
-import gorserill.cluster.shared.Spender;
+import gorserill.cluster.shared.BudgetClient;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -81,7 +81,7 @@
         private final String name;
         private final Member member;
         private final List<Budget> budgets;
-        private final Spender spender;
+        private final BudgetClient spender;
         private List<Allowance> allowances = List.of();
         private final Map<String, long[]> sent = new TreeMap<>();
         private long received;
@@ -99,7 +99,7 @@
                     random.nextLong(),
                     this,
                     Set.of());
-            spender = new Spender(
+            spender = new BudgetClient(
                     budgets, this, member.spends(), 3 * beat / 2, 15 * beat, false, all -> allowances = all);
             member.spender(spender);
         }
@@ -107,7 +107,7 @@
         void demand(int nodes, boolean moving) {
             for (Budget budget : budgets) {
                 double even = budget.perSecond() / nodes;
-                spender.demand(budget.name(), moving ? even * (0.7 + 0.6 * random.nextDouble()) : even);
+                spender.updateDemand(budget.name(), moving ? even * (0.7 + 0.6 * random.nextDouble()) : even);
             }
             at(1_000, this, () -> demand(nodes, moving));
         }
