--- a/src/main/java/gorserill/cluster/member/LeaderService.java
+++ b/src/main/java/gorserill/cluster/member/LeaderService.java
@@ -312,7 +312,7 @@
                 budgets.addObject()
                         .put("budget", name)
                         .put("has", part.has)
-                        .put("due", register.budgetShares().due(name).get(to))
+                        .put("due", register.budgetShares().fairShares(name).get(to))
                         .put("turn", part.turn);
             }
         });
--- a/src/main/java/gorserill/cluster/ownership/Register.java
+++ b/src/main/java/gorserill/cluster/ownership/Register.java
@@ -219,7 +219,7 @@
             return new CommandResults(
                     all.each().stream().map(this::requestBudget).toList());
         } else if (entry instanceof Entry.ReclaimShare bury) {
-            return state.parts.bury(bury.ghost())
+            return state.parts.releaseGhost(bury.ghost())
                     ? CommandResult.accepted(index)
                     : CommandResult.refused("it is buried");
         } else if (entry instanceof Entry.Release release) {
@@ -283,7 +283,7 @@
             return CommandResult.refused("that life is over");
         }
         state.nodes.remove(name);
-        state.parts.over(name, life, why.equals(REPLACED));
+        state.parts.endLife(name, life, why.equals(REPLACED));
         if (why.equals(NOT_HEARD) && state.out.size() < NAMES) {
             state.out.putIfAbsent(name, NOT_HEARD);
         }
@@ -369,7 +369,7 @@
         Node node = state.nodes.get(request.node());
         return node == null || node.life != request.life()
                 ? CommandResult.refused("that life is over")
-                : CommandResult.accepted(state.parts.say(
+                : CommandResult.accepted(state.parts.request(
                         request.node(),
                         request.budget(),
                         request.wants(),
--- a/src/test/java/gorserill/cluster/RegisterTest.java
+++ b/src/test/java/gorserill/cluster/RegisterTest.java
@@ -122,7 +122,7 @@
         Register copy = new Register(Set.of());
         copy.restore(register.snapshot());
         assertEquals(copy.snapshot(), register.snapshot());
-        assertEquals(copy.budgetShares().due("b"), other.budgetShares().due("b"));
+        assertEquals(copy.budgetShares().fairShares("b"), other.budgetShares().fairShares("b"));
     }
 
     @Test
