--- a/src/main/java/gorserill/program/Bans.java
+++ b/src/main/java/gorserill/program/Bans.java
@@ -40,7 +40,7 @@
         refresh();
     }
 
-    boolean has(String name) {
+    boolean contains(String name) {
         return names.contains(name);
     }
 
--- a/src/main/java/gorserill/program/ClusterConfig.java
+++ b/src/main/java/gorserill/program/ClusterConfig.java
@@ -94,7 +94,7 @@
     static ClusterConfig read(
             Path file, String node, Map<String, JobClassInfo> classes, List<String> tenants, int dispatchers)
             throws ConfigException {
-        Map<String, String> values = Flattener.enabled(file);
+        Map<String, String> values = JsonFlattener.readIfEnabled(file);
         if (values == null) {
             return null;
         }
--- a/src/main/java/gorserill/program/Descriptions.java
+++ b/src/main/java/gorserill/program/ContractLoader.java
@@ -13,10 +13,10 @@
 import java.util.logging.Logger;
 
 /** The descriptions that bind a node's fronts: read, and held against its settings. */
-final class Descriptions {
-    private static final Logger LOG = Logger.getLogger(Descriptions.class.getName());
+final class ContractLoader {
+    private static final Logger LOG = Logger.getLogger(ContractLoader.class.getName());
 
-    private Descriptions() {}
+    private ContractLoader() {}
 
     /**
      * Reads a contract.
@@ -47,7 +47,7 @@
     }
 
     /** The queues that a contract names outright, and the class of each. */
-    static Map<String, String> queues(Contract contract) {
+    static Map<String, String> classesByQueue(Contract contract) {
         Map<String, String> queues = new LinkedHashMap<>();
         for (Operation operation : contract.operations()) {
             if (!operation.address().contains("{")) {
--- a/src/main/java/gorserill/program/FaktoryConfig.java
+++ b/src/main/java/gorserill/program/FaktoryConfig.java
@@ -17,7 +17,7 @@
     static FaktoryTerms read(
             Path file, List<String> classNames, Map<String, JobClassInfo> classes, Map<String, JobRule> rules)
             throws ConfigException {
-        Map<String, String> values = Flattener.enabled(file);
+        Map<String, String> values = JsonFlattener.readIfEnabled(file);
         if (values == null) {
             return null;
         } else if (!values.containsKey("listen")) {
@@ -26,9 +26,9 @@
         Map<String, String> queues = new LinkedHashMap<>();
         Contract contract = null;
         if (values.containsKey("asyncapi")) {
-            contract = Descriptions.read(
+            contract = ContractLoader.read(
                     file + ": asyncapi", file.resolveSibling(values.get("asyncapi")), Contract.Kind.ASYNCAPI, rules);
-            queues.putAll(Descriptions.queues(contract));
+            queues.putAll(ContractLoader.classesByQueue(contract));
         }
         for (Map.Entry<String, String> queue :
                 bound(file, values, "queues", classes).entrySet()) {
--- a/src/main/java/gorserill/program/Handover.java
+++ b/src/main/java/gorserill/program/Handover.java
@@ -33,35 +33,35 @@
     private static final long FRESH_MS = 5_000;
 
     /** What was learned of a worker that started at that time. */
-    record Figures(long since, List<Double> learned) {}
+    record WorkerFigures(long since, List<Double> learned) {}
 
     private final Loop loop;
     private final Core core;
-    private final Fleet fleet;
+    private final WorkerDirectory workers;
     private final Path file;
     private final String node;
 
-    Handover(Loop loop, Core core, Fleet fleet, Path folder, String node) {
+    Handover(Loop loop, Core core, WorkerDirectory workers, Path folder, String node) {
         this.loop = loop;
         this.core = core;
-        this.fleet = fleet;
+        this.workers = workers;
         this.node = node;
         file = folder.resolve(NodeConfig.fileKey(node) + ".learned");
     }
 
     /** Takes over what was written last, if that was a moment ago. */
-    void recall() {
+    void restore() {
         try {
             if (System.currentTimeMillis() - Files.getLastModifiedTime(file).toMillis() > FRESH_MS) {
                 return;
             }
-            Map<String, Figures> workers = new HashMap<>();
-            List<Double> all = read(workers);
+            Map<String, WorkerFigures> figures = new HashMap<>();
+            List<Double> all = read(figures);
             if (all != null) {
                 core.restoreLearned(new LearnedState(all, Map.of()));
-                fleet.recall(workers);
+                workers.restoreLearned(figures);
                 LOG.log(Level.INFO, "{0} begins with what was learned of {1} workers", new Object[] {
-                    node, workers.size()
+                    node, figures.size()
                 });
             }
         } catch (NoSuchFileException e) {
@@ -72,7 +72,7 @@
     }
 
     /** Writes down what is known, now and every second, for as long as {@code serving} says so. */
-    void keep(BooleanSupplier serving) {
+    void writePeriodically(BooleanSupplier serving) {
         if (serving.getAsBoolean()) {
             try {
                 write();
@@ -80,7 +80,7 @@
                 LOG.log(Level.FINE, "{0} can''t be written: {1}", new Object[] {file, e});
             }
         }
-        loop.at(loop.now() + EVERY, () -> keep(serving));
+        loop.at(loop.now() + EVERY, () -> writePeriodically(serving));
     }
 
     private void write() throws IOException {
@@ -102,7 +102,7 @@
             json.writeFieldName("all");
             numbers(json, learned.shared());
             json.writeObjectFieldStart("workers");
-            fleet.forEachListed((id, entry) -> {
+            workers.forEachListed((id, entry) -> {
                 List<Double> its = learned.byWorker().get(id);
                 if (its != null) {
                     try {
@@ -140,7 +140,7 @@
     }
 
     /** Gives the figures of no worker in particular; null where the file is another node's. */
-    private List<Double> read(Map<String, Figures> workers) throws IOException {
+    private List<Double> read(Map<String, WorkerFigures> figures) throws IOException {
         List<Double> all = null;
         boolean mine = false;
         try (JsonParser json = JSON.createParser(Files.readAllBytes(file))) {
@@ -159,7 +159,7 @@
                         json.nextToken();
                         long since = json.getLongValue();
                         json.nextToken();
-                        workers.put(name, new Figures(since, numbers(json)));
+                        figures.put(name, new WorkerFigures(since, numbers(json)));
                         json.nextToken();
                     }
                 }
--- a/src/main/java/gorserill/program/Flattener.java
+++ b/src/main/java/gorserill/program/JsonFlattener.java
@@ -16,16 +16,16 @@
  * objects under {@code .count}, {@code .0}, {@code .1} and so forth; spaces and commas in values become
  * underscores. It is the form in which the adapter gets its settings, so that both are decoded by one parser.
  */
-final class Flattener {
+final class JsonFlattener {
     private final Map<String, String> values = new TreeMap<>();
     private final String separator;
 
-    private Flattener(String separator) {
+    private JsonFlattener(String separator) {
         this.separator = separator;
     }
 
     /** What a file says of a part of the node; null where there is none or it leaves that part off. */
-    static Map<String, String> enabled(Path file) throws ConfigException {
+    static Map<String, String> readIfEnabled(Path file) throws ConfigException {
         if (!Files.isRegularFile(file)) {
             return null;
         }
@@ -50,7 +50,7 @@
 
     /** The same with another text between the names of a path. */
     static Map<String, String> flatten(JsonParser json, String separator) throws IOException {
-        Flattener flattener = new Flattener(separator);
+        JsonFlattener flattener = new JsonFlattener(separator);
         flattener.value(json, "");
         return flattener.values;
     }
--- a/src/main/java/gorserill/program/Lifecycle.java
+++ b/src/main/java/gorserill/program/Lifecycle.java
@@ -54,7 +54,7 @@
     /**
      * @param passedSocket whether another process may take over the clients' socket at any time
      * @param stopListening ends all listening
-     * @param ended is told once the last answer is given after {@link #end}
+     * @param ended is told once the last answer is given after {@link #shutDown}
      */
     Lifecycle(
             Loop loop,
@@ -73,22 +73,22 @@
         this.ended = ended;
     }
 
-    boolean starting() {
+    boolean isStarting() {
         return state == State.STARTING;
     }
 
-    boolean ending() {
+    boolean isEnding() {
         return state == State.ENDING;
     }
 
     /** Whether this process can serve, also where it was told not to for now. */
-    boolean up() {
-        return !starting() && !ending();
+    boolean canServe() {
+        return !isStarting() && !isEnding();
     }
 
     /** Clients are welcome from here on, unless operators said otherwise. */
-    void started() {
-        if (!starting()) {
+    void startServing() {
+        if (!isStarting()) {
             return;
         }
         state = State.SERVING;
@@ -147,8 +147,8 @@
      * @param elsewhere whether new connections come to another node by now: then the next answer on each is
      *     its last. Danger: else a client may send on one just as it is closed
      */
-    void end(long longest, boolean elsewhere) {
-        if (ending()) {
+    void shutDown(long longest, boolean elsewhere) {
+        if (isEnding()) {
             return;
         }
         boolean emptied = state == State.LEAVING || state == State.EMPTY;
--- a/src/main/java/gorserill/program/Maintenance.java
+++ b/src/main/java/gorserill/program/Maintenance.java
@@ -15,32 +15,32 @@
 
     private final Loop loop;
     private final Bans bans;
-    private final Fleet fleet;
+    private final WorkerDirectory workers;
     private final FaktoryFront faktory;
 
     /** @param faktory null where that front is off */
-    Maintenance(Loop loop, Bans bans, Fleet fleet, FaktoryFront faktory) {
+    Maintenance(Loop loop, Bans bans, WorkerDirectory workers, FaktoryFront faktory) {
         this.loop = loop;
         this.bans = bans;
-        this.fleet = fleet;
+        this.workers = workers;
         this.faktory = faktory;
     }
 
     /** Sees to it that other processes' calls hold here, too. */
-    void watch() {
+    void pollBans() {
         apply(bans.refresh());
-        loop.at(loop.now() + LOOK_AGAIN, this::watch);
+        loop.at(loop.now() + LOOK_AGAIN, this::pollBans);
     }
 
     /** Gives why it can't be done; null where it is. */
-    String set(String worker, boolean out) {
+    String setBanned(String worker, boolean out) {
         // Danger: another process may just have changed it, and a call that seems needless would do nothing.
         apply(bans.refresh());
-        boolean known = fleet.knows(worker) || faktory != null && faktory.knows(worker);
-        if (!known && !(bans.has(worker) && !out)) {
+        boolean known = workers.isKnown(worker) || faktory != null && faktory.knows(worker);
+        if (!known && !(bans.contains(worker) && !out)) {
             return worker.isEmpty() ? "no worker is named" : "no such worker was ever listed";
         }
-        if (bans.has(worker) != out) {
+        if (bans.contains(worker) != out) {
             try {
                 bans.set(worker, out);
             } catch (IOException e) {
@@ -54,9 +54,10 @@
 
     private void apply(Set<String> changed) {
         for (String worker : changed) {
-            LOG.log(Level.INFO, "worker {0} is {1}", new Object[] {worker, bans.has(worker) ? "taken out" : "put back"
+            LOG.log(Level.INFO, "worker {0} is {1}", new Object[] {
+                worker, bans.contains(worker) ? "taken out" : "put back"
             });
-            fleet.banChanged(worker);
+            workers.banChanged(worker);
             if (faktory != null) {
                 faktory.banChanged(worker);
             }
--- a/src/main/java/gorserill/program/Node.java
+++ b/src/main/java/gorserill/program/Node.java
@@ -60,7 +60,7 @@
     private Core core;
     private HttpFrontend front;
     private ContractGate gate;
-    private Fleet fleet;
+    private WorkerDirectory workers;
     private HttpWatch watch;
     /** Null where other nodes are not spoken to. */
     private volatile PeerPort peers;
@@ -69,8 +69,8 @@
     /** Null where the node is no member of a cluster. */
     private ClusterPart cluster;
 
-    private Lifecycle life;
-    private Figures figures;
+    private Lifecycle lifecycle;
+    private NodeMetrics metrics;
     private final List<Transport.Listener> listeners = new ArrayList<>();
     private boolean opened;
     /** The last word of discovery that came before the fronts were open; null if there was none. */
@@ -80,16 +80,16 @@
     Node(NodeConfig config, Map<String, String> environment) {
         this.config = config;
         this.environment = Map.copyOf(environment);
-        room = new MemoryBudget(config.bodyRoom());
+        room = new MemoryBudget(config.bodyBudgetBytes());
         siblings = siblings(config);
-        transport = new Transport(loop, config.connectionBudget(), siblings, config.mostFactAge());
+        transport = new Transport(loop, config.connectionBudget(), siblings, config.maxInputAgeMicros());
     }
 
     /** Danger: beside an old process a new one must not use up what limits give to both. */
     private SiblingProcesses siblings(NodeConfig its) {
-        if (its.folder != null && its.passedSocket) {
+        if (its.stateFolder != null && its.passedSocket) {
             try {
-                return SiblingProcesses.join(loop, its.folder, NodeConfig.fileKey(its.name), its.ownDescriptors());
+                return SiblingProcesses.join(loop, its.stateFolder, NodeConfig.fileKey(its.name), its.ownDescriptors());
             } catch (IOException e) {
                 LOG.log(Level.WARNING, "{0} can''t tell other processes of its limits: {1}", new Object[] {its.name, e
                 });
@@ -109,9 +109,9 @@
 
     /** Starts all but the fronts. */
     void prepare() throws IOException {
-        if (!config.unused.isEmpty()) {
+        if (!config.unusedSettings.isEmpty()) {
             LOG.log(Level.INFO, "{0} is told and does not use: {1}", new Object[] {
-                config.name, String.join(" ", config.unused)
+                config.name, String.join(" ", config.unusedSettings)
             });
         }
         transport.start();
@@ -121,9 +121,9 @@
                 transport,
                 transport.chain(HttpCodec.client(loop, Integer.MAX_VALUE)),
                 config.classNames,
-                config.reports,
-                config.connectTimeout,
-                config.keepIdle(),
+                config.loadFieldNames,
+                config.connectTimeoutMicros,
+                config.workerIdleTimeoutMicros(),
                 new ThrottledWarnings(loop, Logger.getLogger(HttpWorker.class.getName()), "workers' answers"));
         watch = new HttpWatch(
                 loop,
@@ -133,13 +133,13 @@
                 new CallPace(config.settings.dispatchers(), !config.settings.listOnDemand(), config.seed),
                 this::heard,
                 this::watchFailed);
-        if (config.known != null) {
-            watch.startFrom(config.known);
+        if (config.cachedListing != null) {
+            watch.startFrom(config.cachedListing);
         }
         core = new Core(loop, config.settings, config.seed, watch::start, siblings);
         core.setDescriptorShortage(transport::isNearDescriptorLimit);
-        Bans bans = new Bans(config.folder, config.name);
-        fleet = new Fleet(loop, core, terms, config.zones, config.kinds, bans::has);
+        Bans bans = new Bans(config.stateFolder, config.name);
+        workers = new WorkerDirectory(loop, core, terms, config.zones, config.workerTypes, bans::contains);
         ThrottledWarnings answers = new ThrottledWarnings(
                 loop, Logger.getLogger(ContractGate.class.getName()), "workers' answers not as described");
         Tenants tenants = new Tenants(config.tenantNames);
@@ -149,15 +149,15 @@
                     core,
                     config.faktory,
                     tenants,
-                    new ContractGate(loop, config.keysFor(), answers),
+                    new ContractGate(loop, config.maxDedupWindowMicros(), answers),
                     config.seed,
                     room,
-                    bans::has);
+                    bans::contains);
         }
-        gate = new ContractGate(loop, config.keysFor(), answers);
+        gate = new ContractGate(loop, config.maxDedupWindowMicros(), answers);
         gate.replace(config.contract);
-        front = new HttpFrontend(loop, core, config.classTerms(), tenants, gate, room);
-        life = new Lifecycle(
+        front = new HttpFrontend(loop, core, config.jobClassInfo(), tenants, gate, room);
+        lifecycle = new Lifecycle(
                 loop,
                 config.name,
                 core,
@@ -165,22 +165,22 @@
                 config.passedSocket,
                 () -> listeners.forEach(Transport.Listener::stopAccepting),
                 done::countDown);
-        if (config.known != null) {
-            fleet.tell(ListKind.CACHED, config.known);
+        if (config.cachedListing != null) {
+            workers.update(ListKind.CACHED, config.cachedListing);
         }
         if (!config.settings.listOnDemand()) {
             watch.start();
         }
         loop.at(loop.now() + MINUTE, this::tellMinute);
-        figures = new Figures(config.classNames, core, fleet, faktory, loop, watch.statistics());
-        Maintenance maintenance = new Maintenance(loop, bans, fleet, faktory);
-        if (config.folder != null) {
-            maintenance.watch();
+        metrics = new NodeMetrics(config.classNames, core, workers, faktory, loop, watch.statistics());
+        Maintenance maintenance = new Maintenance(loop, bans, workers, faktory);
+        if (config.stateFolder != null) {
+            maintenance.pollBans();
         }
-        if (config.folder != null && config.passedSocket) {
-            Handover handover = new Handover(loop, core, fleet, config.folder, config.name);
-            handover.recall();
-            handover.keep(life::up);
+        if (config.stateFolder != null && config.passedSocket) {
+            Handover handover = new Handover(loop, core, workers, config.stateFolder, config.name);
+            handover.restore();
+            handover.writePeriodically(lifecycle::canServe);
         }
         loop.start();
         if (config.peers != null) {
@@ -193,7 +193,8 @@
         if (config.admin != null) {
             AdminFrontend admin = new AdminFrontend(
                     loop,
-                    new OperatorCalls(life, maintenance, figures, this::contracts, this::reload, cluster).byName());
+                    new OperatorCalls(lifecycle, maintenance, metrics, this::contracts, this::reload, cluster)
+                            .byName());
             loop.execute(() -> listenOnceFree(
                     "operators",
                     config.admin,
@@ -219,7 +220,7 @@
         }
         loop.execute(this::opened);
         // Danger: a node that knows of no worker would draw clients and refuse them all.
-        if (config.known != null && !config.known.entries().isEmpty()) {
+        if (config.cachedListing != null && !config.cachedListing.entries().isEmpty()) {
             long first = config.settings.listOnDemand() ? FIRST_LIST : CallPace.AGENT_TIMEOUT_MS * 1_000;
             loop.execute(() -> loop.at(loop.now() + first, () -> ready("no word from discovery yet")));
         }
@@ -241,7 +242,7 @@
             LOG.log(Level.INFO, "{0} hears other nodes at {1}", new Object[] {config.name, config.peers.listen()});
         } catch (IOException e) {
             LOG.log(Level.FINE, "{0} can''t hear other nodes yet: {1}", new Object[] {config.name, e});
-            if (!life.ending()) {
+            if (!lifecycle.isEnding()) {
                 loop.at(loop.now() + BIND_AGAIN, this::hearPeers);
             }
         }
@@ -258,7 +259,7 @@
             listening(whom, at, binding.bind());
         } catch (IOException e) {
             LOG.log(Level.FINE, "{0} can''t listen for {1} yet: {2}", new Object[] {config.name, whom, e});
-            if (!life.ending()) {
+            if (!lifecycle.isEnding()) {
                 loop.at(loop.now() + BIND_AGAIN, () -> listenOnceFree(whom, at, binding));
             }
         }
@@ -286,7 +287,7 @@
     }
 
     private void heard(WorkerListing listing) {
-        fleet.tell(listing.whole() ? ListKind.WHOLE : ListKind.CHANGES, listing);
+        workers.update(listing.whole() ? ListKind.WHOLE : ListKind.CHANGES, listing);
         String why = "list " + listing.index() + " heard";
         if (!opened) {
             heardBeforeOpen = why;
@@ -299,7 +300,7 @@
     }
 
     private void ready(String why) {
-        if (!opened || !life.starting()) {
+        if (!opened || !lifecycle.isStarting()) {
             return;
         }
         if (config.passedSocket) {
@@ -321,7 +322,7 @@
         if (cluster != null) {
             cluster.start();
         }
-        life.started();
+        lifecycle.startServing();
         readied.countDown();
     }
 
@@ -353,18 +354,18 @@
 
     private void read(Consumer<String> outcome) {
         try {
-            NodeConfig fresh = NodeConfig.reread(environment);
+            NodeConfig fresh = NodeConfig.readForReload(environment);
             loop.execute(() -> outcome.accept(apply(fresh)));
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "reload: the configuration can't be read; the old one stays in force", e);
             loop.execute(() -> {
-                figures.reloaded(false);
+                metrics.recordReload(false);
                 outcome.accept("the configuration can't be read: " + e);
             });
         } catch (ConfigException e) {
             LOG.log(Level.SEVERE, "reload: configuration: {0}; the old one stays in force", e.getMessage());
             loop.execute(() -> {
-                figures.reloaded(false);
+                metrics.recordReload(false);
                 outcome.accept(e.getMessage().lines().collect(Collectors.joining(" | ")));
             });
         }
@@ -377,7 +378,7 @@
     /** Gives what keeps the contracts from being replaced; null for nothing. */
     private String apply(NodeConfig fresh) {
         LOG.log(Level.INFO, "{0}: configuration read again", config.name);
-        figures.reloaded(true);
+        metrics.recordReload(true);
         for (String key : config.fixedKeysChangedIn(fresh)) {
             LOG.log(Level.WARNING, "reload: {0} is changed, which holds from the next start on", key);
         }
@@ -397,7 +398,7 @@
 
     /** Answers what is open, takes what still comes for a while, then ends; any thread may call it. */
     void drain() {
-        Consumer<Boolean> end = elsewhere -> loop.execute(() -> life.end(
+        Consumer<Boolean> end = elsewhere -> loop.execute(() -> lifecycle.shutDown(
                 config.settings.classes().stream()
                         .mapToLong(c -> c.deadline())
                         .max()
--- a/src/main/java/gorserill/program/NodeConfig.java
+++ b/src/main/java/gorserill/program/NodeConfig.java
@@ -49,31 +49,31 @@
 
     final InetSocketAddress discovery;
     final long seed;
-    final int sockets;
+    final int maxSockets;
     /** Bytes. */
-    final long memory;
+    final long memoryBytes;
     /** Where files outlast the process; null where nowhere. */
-    final Path folder;
+    final Path stateFolder;
     /** Null where the node was told none. */
-    final WorkerListing known;
+    final WorkerListing cachedListing;
 
     final Settings settings;
     final List<String> classNames;
     final List<String> zones;
-    final List<String> kinds;
-    final LoadFieldNames reports;
+    final List<String> workerTypes;
+    final LoadFieldNames loadFieldNames;
     /** Where other nodes are heard and spoken to; null where nowhere. */
     final PeerPort.Addresses peers;
     /** In the settings' order; none where the deployment has no tenants. */
     final List<String> tenantNames;
     /** Settings that the deployment tells and this node does not use. */
-    final List<String> unused;
+    final List<String> unusedSettings;
 
-    final long connectTimeout;
+    final long connectTimeoutMicros;
     /** How long after word of a drain a first byte may still go out. */
-    final long drainGrace;
+    final long drainGraceMicros;
 
-    final long connectionIdle;
+    final long connectionIdleMicros;
     /** Null where the front is off. */
     final FaktoryTerms faktory;
     /** Null where the node is no member of a cluster. */
@@ -84,23 +84,27 @@
     private final Map<String, String> values;
 
     private NodeConfig(
-            Map<String, String> top, Map<String, String> values, WorkerListing known, Map<String, String> environment)
+            Map<String, String> top,
+            Map<String, String> values,
+            WorkerListing cachedListing,
+            Map<String, String> environment)
             throws ConfigException {
         this.values = values;
-        this.known = known;
+        this.cachedListing = cachedListing;
         name = top.getOrDefault("name", "node");
         listen = address(top, "listen");
         discovery = address(top, "discovery");
         admin = top.getOrDefault("admin_addr", "").isEmpty() ? null : address(top, "admin_addr");
         String temporary = environment.getOrDefault("TMPDIR", "");
-        folder = temporary.isEmpty() ? null : Path.of(temporary);
+        stateFolder = temporary.isEmpty() ? null : Path.of(temporary);
         passedSocket = passed(environment.getOrDefault("NODE_PASSED_SOCKET", ""));
         seed = seed(top);
-        sockets = (int) number(top, "limits.sockets", DEFAULT_SOCKETS);
-        memory = (long) number(top, "limits.memory_mb", DEFAULT_MEMORY_MB) << 20;
+        maxSockets = (int) number(top, "limits.sockets", DEFAULT_SOCKETS);
+        memoryBytes = (long) number(top, "limits.memory_mb", DEFAULT_MEMORY_MB) << 20;
         if (connectionBudget() <= 0) {
             throw new ConfigException(
-                    "limits.sockets", sockets + " is too few, the node itself needs " + (sockets - connectionBudget()));
+                    "limits.sockets",
+                    maxSockets + " is too few, the node itself needs " + (maxSockets - connectionBudget()));
         }
         SettingsParser parser = new SettingsParser(values);
         Settings told;
@@ -128,29 +132,29 @@
             classNames.add(values.get(path));
         }
         zones = names(parser.rawValue("areas"));
-        kinds = names(parser.rawValue("shapes"));
-        reports = new LoadFieldNames(reportName(parser, "free_slots"), reportName(parser, "free_memory"));
-        connectTimeout = (long) number(values, "caps.connect_timeout_us", 250_000);
-        connectionIdle = (long) number(values, "caps.conn_idle_us", 15_000_000);
-        drainGrace = (long) number(values, "obligations.drain_grace_us", 500_000);
+        workerTypes = names(parser.rawValue("shapes"));
+        loadFieldNames = new LoadFieldNames(reportName(parser, "free_slots"), reportName(parser, "free_memory"));
+        connectTimeoutMicros = (long) number(values, "caps.connect_timeout_us", 250_000);
+        connectionIdleMicros = (long) number(values, "caps.conn_idle_us", 15_000_000);
+        drainGraceMicros = (long) number(values, "obligations.drain_grace_us", 500_000);
         List.of("caps.connect_timeout_us", "caps.conn_idle_us", "obligations.drain_grace_us", "me")
                 .forEach(parser::rawValue);
-        unused = parser.unusedPaths();
+        unusedSettings = parser.unusedPaths();
         faktory = FaktoryConfig.read(
                 Path.of(environment.getOrDefault("GORSERILL_FAKTORY", "deploy/faktory.json")),
                 classNames,
-                classTerms(),
+                jobClassInfo(),
                 jobRules());
         cluster = ClusterConfig.read(
                 Path.of(environment.getOrDefault("GORSERILL_CLUSTER", "deploy/cluster.json")),
                 name,
-                classTerms(),
+                jobClassInfo(),
                 tenantNames,
                 settings.dispatchers());
         String openApi = environment.get("GORSERILL_OPENAPI");
         contract = openApi == null
                 ? null
-                : Descriptions.read("GORSERILL_OPENAPI", Path.of(openApi), Contract.Kind.OPENAPI, jobRules());
+                : ContractLoader.read("GORSERILL_OPENAPI", Path.of(openApi), Contract.Kind.OPENAPI, jobRules());
     }
 
     /** Reads the file that {@code NODE_CONFIG} names; the other variables go before what it says. */
@@ -162,7 +166,7 @@
         }
         Map<String, String> top = new LinkedHashMap<>();
         Map<String, String> settings = null;
-        WorkerListing known = null;
+        WorkerListing cachedListing = null;
         String key = file;
         try (JsonParser json = new JsonFactory().createParser(Files.readString(Path.of(file)))) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
@@ -172,12 +176,12 @@
                 key = json.currentName();
                 JsonToken value = json.nextToken();
                 if (key.equals("settings")) {
-                    settings = Flattener.flatten(json);
+                    settings = JsonFlattener.flatten(json);
                 } else if (key.equals("known") && value != JsonToken.VALUE_NULL) {
-                    known = WorkerListing.read(json);
+                    cachedListing = WorkerListing.read(json);
                 } else {
                     String at = key;
-                    Flattener.flatten(json)
+                    JsonFlattener.flatten(json)
                             .forEach((path, text) -> top.put(path.isEmpty() ? at : at + "." + path, text));
                 }
             }
@@ -196,14 +200,14 @@
                 default -> {}
             }
         });
-        return new NodeConfig(top, settings, known, environment);
+        return new NodeConfig(top, settings, cachedListing, environment);
     }
 
     /**
      * Reads the file again for a running node. Danger: discovery's address is now the file's: a variable
      * set at the start would undo every reload.
      */
-    static NodeConfig reread(Map<String, String> environment) throws ConfigException {
+    static NodeConfig readForReload(Map<String, String> environment) throws ConfigException {
         Map<String, String> without = new HashMap<>(environment);
         without.remove("NODE_DISCOVERY");
         return read(without);
@@ -215,8 +219,8 @@
         changed.put("name", !name.equals(later.name));
         changed.put("listen", !listen.equals(later.listen));
         changed.put("admin_addr", !Objects.equals(admin, later.admin));
-        changed.put("limits.sockets", sockets != later.sockets);
-        changed.put("limits.memory_mb", memory != later.memory);
+        changed.put("limits.sockets", maxSockets != later.maxSockets);
+        changed.put("limits.memory_mb", memoryBytes != later.memoryBytes);
         changed.put("settings", !values.equals(later.values));
         changed.put("faktory: enabled", (faktory == null) != (later.faktory == null));
         changed.put(
@@ -235,7 +239,7 @@
 
     /** Whether the jobs' classes are the same, so that what one binds to a class the other may use. */
     boolean sameClasses(NodeConfig other) {
-        return classTerms().equals(other.classTerms());
+        return jobClassInfo().equals(other.jobClassInfo());
     }
 
     /** The classes of a configuration file, for contracts to be held against without a node. */
@@ -255,7 +259,7 @@
     }
 
     /** What the fronts need to know of the classes, by name. */
-    Map<String, JobClassInfo> classTerms() {
+    Map<String, JobClassInfo> jobClassInfo() {
         Map<String, JobClassInfo> terms = new LinkedHashMap<>();
         for (int c = 0; c < classNames.size(); c++) {
             JobClass of = settings.classes().get(c);
@@ -270,12 +274,12 @@
      * How old the node's knowledge may be as it writes a job's first byte, microseconds: the grace, less what the
      * machine may hold the process up between the check and the write.
      */
-    long mostFactAge() {
-        return Math.max(LEAST_FACT_AGE, Math.min(Transport.DEFAULT_MAX_INPUT_AGE_MICROS, drainGrace - HOLD_UP));
+    long maxInputAgeMicros() {
+        return Math.max(LEAST_FACT_AGE, Math.min(Transport.DEFAULT_MAX_INPUT_AGE_MICROS, drainGraceMicros - HOLD_UP));
     }
 
     /** How long workers know a key at the most, microseconds. */
-    long keysFor() {
+    long maxDedupWindowMicros() {
         return settings.classes().stream()
                 .filter(c -> c.effect() == Effect.KEYED)
                 .mapToLong(JobClass::dedupWindow)
@@ -285,7 +289,7 @@
 
     /** Most connections of all kinds together. */
     int connectionBudget() {
-        return sockets - ownDescriptors();
+        return maxSockets - ownDescriptors();
     }
 
     /** Descriptors that each process needs besides its connections. */
@@ -299,13 +303,13 @@
     }
 
     /** Bytes for what clients send: a sixteenth of the memory allowed, no more than a quarter of the heap. */
-    long bodyRoom() {
-        return Math.min(memory / 16, Runtime.getRuntime().maxMemory() / 4);
+    long bodyBudgetBytes() {
+        return Math.min(memoryBytes / 16, Runtime.getRuntime().maxMemory() / 4);
     }
 
     /** How long a connection to a worker may stand idle: well below the worker's own limit. */
-    long keepIdle() {
-        return connectionIdle * 6 / 10;
+    long workerIdleTimeoutMicros() {
+        return connectionIdleMicros * 6 / 10;
     }
 
     private String reportName(SettingsParser parser, String meaning) {
--- a/src/main/java/gorserill/program/Figures.java
+++ b/src/main/java/gorserill/program/NodeMetrics.java
@@ -10,13 +10,13 @@
 import java.util.Locale;
 
 /** What the node reports of itself, in the text format that the operators' collector reads. */
-final class Figures {
+final class NodeMetrics {
     private static final String END = "eof\n";
     private static final int MICROS_PER_MILLI = 1_000;
 
     private final List<String> classNames;
     private final Core core;
-    private final Fleet fleet;
+    private final WorkerDirectory workers;
     private final FaktoryFront faktory;
     private final Loop loop;
     private final WatchStatistics watch;
@@ -24,16 +24,22 @@
     private long faultyReloads;
 
     /** @param faktory null where that front is off */
-    Figures(List<String> classNames, Core core, Fleet fleet, FaktoryFront faktory, Loop loop, WatchStatistics watch) {
+    NodeMetrics(
+            List<String> classNames,
+            Core core,
+            WorkerDirectory workers,
+            FaktoryFront faktory,
+            Loop loop,
+            WatchStatistics watch) {
         this.loop = loop;
         this.watch = watch;
         this.classNames = classNames;
         this.core = core;
-        this.fleet = fleet;
+        this.workers = workers;
         this.faktory = faktory;
     }
 
-    void reloaded(boolean sound) {
+    void recordReload(boolean sound) {
         if (sound) {
             reloads++;
         } else {
@@ -52,8 +58,8 @@
         }
         line(text, "backend_calls_total", tally.attempts());
         line(text, "inflight", core.openRequests());
-        line(text, "hosts_listed", fleet.listed() + (faktory == null ? 0 : faktory.workers()));
-        line(text, "hosts_down", fleet.avoided() + (faktory == null ? 0 : faktory.avoided()));
+        line(text, "hosts_listed", workers.listedCount() + (faktory == null ? 0 : faktory.workers()));
+        line(text, "hosts_down", workers.avoidedCount() + (faktory == null ? 0 : faktory.avoided()));
         line(text, "reconfig_ok_total", reloads);
         line(text, "reconfig_failed_total", faultyReloads);
         return text.append(END).toString();
@@ -76,7 +82,7 @@
         line(text, "discovery_silent_total", watch.silent());
         line(text, "discovery_superseded_total", watch.superseded());
         line(text, "discovery_late_answers_total", watch.lateAnswers());
-        line(text, "list_version", fleet.version());
+        line(text, "list_version", workers.version());
         line(text, "pauses_total", loop.pauses());
         line(text, "longest_pause_ms", loop.longestPauseMicros() / MICROS_PER_MILLI);
         return text.append(END).toString();
--- a/src/main/java/gorserill/program/OperatorCalls.java
+++ b/src/main/java/gorserill/program/OperatorCalls.java
@@ -8,9 +8,9 @@
 
 /** What operators can ask of the node, by the names of the calls. */
 final class OperatorCalls {
-    private final Lifecycle life;
+    private final Lifecycle lifecycle;
     private final Maintenance maintenance;
-    private final Figures figures;
+    private final NodeMetrics metrics;
 
     private final Supplier<String> contracts;
     private final Consumer<Consumer<String>> reload;
@@ -23,17 +23,17 @@
      * @param cluster null where this node is no member of one
      */
     OperatorCalls(
-            Lifecycle life,
+            Lifecycle lifecycle,
             Maintenance maintenance,
-            Figures figures,
+            NodeMetrics metrics,
             Supplier<String> contracts,
             Consumer<Consumer<String>> reload,
             ClusterPart cluster) {
         this.cluster = cluster;
         this.contracts = contracts;
         this.reload = reload;
-        this.figures = figures;
-        this.life = life;
+        this.metrics = metrics;
+        this.lifecycle = lifecycle;
         this.maintenance = maintenance;
     }
 
@@ -51,15 +51,15 @@
                                 cluster.call(about, to);
                             }
                         }),
-                "readyz", about -> AdminFrontend.reply(life.up(), "it does not serve yet, or no more"),
-                "telemetry", about -> figures.text(),
-                "diagnostics", about -> figures.diagnostics(),
+                "readyz", about -> AdminFrontend.reply(lifecycle.canServe(), "it does not serve yet, or no more"),
+                "telemetry", about -> metrics.text(),
+                "diagnostics", about -> metrics.diagnostics(),
                 "exclude", worker -> maintain(worker, true),
                 "include", worker -> maintain(worker, false),
                 "evacuate", new AdminFrontend.DeferredCall((about, to) -> evacuate(to)),
                 "activate",
                         about -> done(() -> {
-                            life.activate();
+                            lifecycle.activate();
                             if (cluster != null) {
                                 cluster.backInService();
                             }
@@ -69,19 +69,19 @@
     /** Where so many nodes may be out of service and no more, the others are asked first. */
     private void evacuate(Consumer<String> to) {
         if (cluster == null) {
-            to.accept(done(life::evacuate));
+            to.accept(done(lifecycle::evacuate));
             return;
         }
         cluster.permit(whyNot -> {
             if (whyNot == null) {
-                life.evacuate();
+                lifecycle.evacuate();
             }
             to.accept(AdminFrontend.reply(whyNot == null, whyNot));
         });
     }
 
     private String maintain(String worker, boolean out) {
-        String whyNot = maintenance.set(worker, out);
+        String whyNot = maintenance.setBanned(worker, out);
         return AdminFrontend.reply(whyNot == null, whyNot);
     }
 
--- a/src/main/java/gorserill/program/Fleet.java
+++ b/src/main/java/gorserill/program/WorkerDirectory.java
@@ -23,8 +23,8 @@
 import java.util.logging.Logger;
 
 /** Turns discovery's listings into workers of the core's. */
-final class Fleet {
-    private static final Logger LOG = Logger.getLogger(Fleet.class.getName());
+final class WorkerDirectory {
+    private static final Logger LOG = Logger.getLogger(WorkerDirectory.class.getName());
     private static final int UNKNOWN = 255;
     /** Workers that leave are named in a listing's line up to so many. */
     private static final int MOST_NAMES = 6;
@@ -49,13 +49,13 @@
     /** What discovery says at present of the workers that are not gone. */
     private final Map<String, WorkerListing.Entry> listed = new HashMap<>();
     /** Handed over, and not yet listed. */
-    private final Map<String, Handover.Figures> recalled = new HashMap<>();
+    private final Map<String, Handover.WorkerFigures> recalled = new HashMap<>();
 
     private final Core core;
     private final Predicate<String> banned;
 
     /** @param banned whom operators have taken out: it counts as draining, whatever discovery says */
-    Fleet(
+    WorkerDirectory(
             Loop loop,
             Core core,
             HttpWorker.Config terms,
@@ -70,7 +70,7 @@
         this.banned = banned;
     }
 
-    void tell(ListKind kind, WorkerListing listing) {
+    void update(ListKind kind, WorkerListing listing) {
         if (kind == ListKind.WHOLE) {
             dropUnlisted(listing);
         }
@@ -125,7 +125,7 @@
         }
         core.updateWorkers(kind, entries, ports);
         forget();
-        recall();
+        restoreLearned();
         if (!entries.isEmpty()) {
             LOG.log(
                     Level.INFO,
@@ -178,15 +178,15 @@
     }
 
     /** Begins with what another process has learned of workers, as far as they are listed and the same. */
-    void recall(Map<String, Handover.Figures> figures) {
+    void restoreLearned(Map<String, Handover.WorkerFigures> figures) {
         recalled.putAll(figures);
-        recall();
+        restoreLearned();
     }
 
-    private void recall() {
+    private void restoreLearned() {
         Map<Long, List<Double>> known = new HashMap<>();
         forEachListed((id, entry) -> {
-            Handover.Figures its = recalled.remove(entry.name());
+            Handover.WorkerFigures its = recalled.remove(entry.name());
             if (its != null && its.since() == entry.since()) {
                 known.put(id, its.learned());
             }
@@ -227,12 +227,12 @@
     }
 
     /** How many workers the list holds. */
-    int listed() {
+    int listedCount() {
         return listed.size();
     }
 
     /** To how many of them nothing new goes at present. */
-    int avoided() {
+    int avoidedCount() {
         int avoided = 0;
         for (String name : listed.keySet()) {
             avoided += core.avoids(numbers.get(name)) ? 1 : 0;
@@ -241,7 +241,7 @@
     }
 
     /** Whether discovery ever named it. */
-    boolean knows(String name) {
+    boolean isKnown(String name) {
         return numbers.containsKey(name);
     }
 
--- a/src/test/java/gorserill/program/BansTest.java
+++ b/src/test/java/gorserill/program/BansTest.java
@@ -68,10 +68,10 @@
         second.set("s-2", true);
         assertEquals(first.refresh(), Set.of("s-2"));
         assertEquals(first.refresh(), Set.of());
-        assertTrue(first.has("s-2"));
+        assertTrue(first.contains("s-2"));
         second.set("s-1", false);
         assertEquals(first.refresh(), Set.of("s-1"));
-        assertFalse(first.has("s-1"));
+        assertFalse(first.contains("s-1"));
     }
 
     @Test
@@ -96,9 +96,9 @@
     public void withoutAFolderBansEndWithTheProcess() throws IOException {
         Bans bans = new Bans(null, "n1");
         bans.set("s-1", true);
-        assertTrue(bans.has("s-1"));
+        assertTrue(bans.contains("s-1"));
         assertEquals(bans.refresh(), Set.of());
-        assertFalse(new Bans(null, "n1").has("s-1"));
+        assertFalse(new Bans(null, "n1").contains("s-1"));
     }
 
     @Test(expectedExceptions = IOException.class)
--- a/src/test/java/gorserill/program/DescriptionsTest.java
+++ b/src/test/java/gorserill/program/DescriptionsTest.java
@@ -26,7 +26,7 @@
     private static Map<String, String> flat(Path file) throws IOException {
         try (JsonParser json = new JsonFactory().createParser(Files.readString(file))) {
             json.nextToken();
-            return Flattener.flatten(json, "\t");
+            return JsonFlattener.flatten(json, "\t");
         }
     }
 
--- a/src/test/java/gorserill/program/FleetChurnTest.java
+++ b/src/test/java/gorserill/program/FleetChurnTest.java
@@ -24,20 +24,20 @@
         long[] nanos = new long[1];
         Loop loop = new Loop(faults::add, () -> nanos[0]);
         Core core = new Core(loop, config.settings, 1, () -> {});
-        Fleet fleet = new Fleet(loop, core, null, List.of("a"), List.of("std4"), name -> false);
+        WorkerDirectory fleet = new WorkerDirectory(loop, core, null, List.of("a"), List.of("std4"), name -> false);
         for (int round = 0; round < 100; round++) {
             List<WorkerListing.Entry> entries = new ArrayList<>();
             for (int i = 0; i < 50; i++) {
                 entries.add(new WorkerListing.Entry(
                         "w-" + round + "-" + i, "127.0.0.1:9", "a", "std4", 0, "in_service", 0));
             }
-            fleet.tell(ListKind.WHOLE, new WorkerListing(round + 1, true, entries));
+            fleet.update(ListKind.WHOLE, new WorkerListing(round + 1, true, entries));
             nanos[0] += 1_000_000_000L;
             loop.runDue();
         }
         assertEquals(faults, List.of());
-        assertEquals(fleet.listed(), 50);
-        assertTrue(fleet.knows("w-99-0") && fleet.knows("w-98-0"), "one that just left may come back");
-        assertFalse(fleet.knows("w-0-0"), "a worker gone 99 lists ago is still kept");
+        assertEquals(fleet.listedCount(), 50);
+        assertTrue(fleet.isKnown("w-99-0") && fleet.isKnown("w-98-0"), "one that just left may come back");
+        assertFalse(fleet.isKnown("w-0-0"), "a worker gone 99 lists ago is still kept");
     }
 }
--- a/src/test/java/gorserill/program/HandoverTest.java
+++ b/src/test/java/gorserill/program/HandoverTest.java
@@ -36,11 +36,12 @@
         final long[] nanos = new long[1];
         final Loop loop = new Loop(faults::add, () -> nanos[0]);
         final Core core = new Core(loop, config.settings, 1, () -> {});
-        final Fleet fleet = new Fleet(loop, core, null, List.of("a"), List.of("std4"), name -> false);
+        final WorkerDirectory fleet =
+                new WorkerDirectory(loop, core, null, List.of("a"), List.of("std4"), name -> false);
         final Handover handover;
 
         Process(String node, WorkerListing listing) {
-            fleet.tell(ListKind.WHOLE, listing);
+            fleet.update(ListKind.WHOLE, listing);
             handover = new Handover(loop, core, fleet, folder, node);
         }
 
@@ -82,21 +83,21 @@
     @Test
     public void theNextProcessBeginsWithWhatTheLastOneLearned() {
         Process first = wiser();
-        first.handover.keep(() -> true);
+        first.handover.writePeriodically(() -> true);
         Process next = new Process("n1", new WorkerListing(9, true, List.of(entry("w2", 0), entry("w1", 5))));
         assertNotEquals(next.learned().get("w2"), first.learned().get("w2"));
         List<Double> fresh = next.learned().get("w1");
-        next.handover.recall();
+        next.handover.restore();
         assertEquals(next.core.learned().shared(), first.core.learned().shared());
         assertEquals(next.learned().get("w2"), first.learned().get("w2"));
         assertEquals(next.learned().get("w1"), fresh, "it has started anew since");
-        next.fleet.tell(ListKind.CHANGES, new WorkerListing(10, false, List.of(entry("w3", 0))));
+        next.fleet.update(ListKind.CHANGES, new WorkerListing(10, false, List.of(entry("w3", 0))));
     }
 
     @Test
     public void whatIsOldTornOrAnothersIsLeftAlone() throws IOException {
         Process first = wiser();
-        first.handover.keep(() -> true);
+        first.handover.writePeriodically(() -> true);
         Path file;
         try (DirectoryStream<Path> all = Files.newDirectoryStream(folder, "*.learned")) {
             file = all.iterator().next();
@@ -106,7 +107,7 @@
         Process next = new Process("n1", listing);
         List<Double> before = next.core.learned().shared();
         Files.setLastModifiedTime(file, FileTime.fromMillis(System.currentTimeMillis() - 60_000));
-        next.handover.recall();
+        next.handover.restore();
         for (String wrong : List.of(
                 "",
                 "{",
@@ -115,7 +116,7 @@
                 text.replace("\"n1\"", "\"n2\""),
                 text.replaceAll("\"all\":\\[[^]]*", "\"all\":[1"))) {
             Files.writeString(file, wrong);
-            next.handover.recall();
+            next.handover.restore();
             assertEquals(next.core.learned().shared(), before, wrong);
         }
         next.learned();
@@ -130,7 +131,7 @@
         Process first = wiser();
         Path file = folder.resolve(NodeConfig.fileKey("n1") + ".learned");
         Path inTheWay = Files.createDirectories(file.resolve("in the way"));
-        first.handover.keep(() -> true);
+        first.handover.writePeriodically(() -> true);
         for (int i = 0; i < 5; i++) {
             first.nanos[0] += 1_000_000_000L;
             first.loop.runDue();
@@ -150,7 +151,7 @@
 
     @Test
     public void aProcessThatDoesNotServeWritesNothing() throws IOException {
-        wiser().handover.keep(() -> false);
+        wiser().handover.writePeriodically(() -> false);
         try (DirectoryStream<Path> all = Files.newDirectoryStream(folder)) {
             assertEquals(all.iterator().hasNext(), false);
         }
--- a/src/test/java/gorserill/program/LifecycleTest.java
+++ b/src/test/java/gorserill/program/LifecycleTest.java
@@ -81,8 +81,8 @@
                     () -> {});
             Lifecycle life = new Lifecycle(
                     loop, "n1", core, List.of(front), false, () -> told.add("listening ends"), () -> told.add("ended"));
-            life.started();
-            life.end(LONGEST, false);
+            life.startServing();
+            life.shutDown(LONGEST, false);
         }
     }
 
--- a/src/test/java/gorserill/program/MaintenanceTest.java
+++ b/src/test/java/gorserill/program/MaintenanceTest.java
@@ -27,11 +27,12 @@
         private final Loop loop = new Loop(faults::add, () -> 0);
         private final Core core = new Core(loop, config.settings, 1, () -> {});
         private final Bans bans = new Bans(folder, "n1");
-        private final Fleet fleet = new Fleet(loop, core, null, List.of("a"), List.of("std4"), bans::has);
+        private final WorkerDirectory fleet =
+                new WorkerDirectory(loop, core, null, List.of("a"), List.of("std4"), bans::contains);
         private final Maintenance maintenance = new Maintenance(loop, bans, fleet, null);
 
         Process() {
-            fleet.tell(
+            fleet.update(
                     ListKind.WHOLE,
                     new WorkerListing(
                             1,
@@ -40,7 +41,7 @@
         }
 
         void call(boolean out) {
-            assertNull(maintenance.set("w1", out));
+            assertNull(maintenance.setBanned("w1", out));
             assertEquals(faults, List.of());
         }
     }
--- a/src/test/java/gorserill/program/NodeConfigTest.java
+++ b/src/test/java/gorserill/program/NodeConfigTest.java
@@ -35,7 +35,8 @@
         try (JsonParser parser = new JsonFactory().createParser(json)) {
             parser.nextToken();
             assertEquals(
-                    Flattener.flatten(parser), Map.of("a.b", "1,2.5,x_y_z", "c.count", "2", "c.0.d", "true", "e", ""));
+                    JsonFlattener.flatten(parser),
+                    Map.of("a.b", "1,2.5,x_y_z", "c.count", "2", "c.0.d", "true", "e", ""));
         }
     }
 
@@ -45,10 +46,10 @@
         assertEquals(config.name, "n1");
         assertEquals(config.seed, 0x8c1f30d27a5be964L);
         assertEquals(config.classNames, List.of("estado", "historial", "alerta", "cierre"));
-        assertEquals(config.reports.freeSlots(), "x0");
-        assertNull(config.reports.freeMemory());
-        assertEquals(config.keepIdle(), 9_000_000);
-        assertEquals(config.known.index(), 41);
+        assertEquals(config.loadFieldNames.freeSlots(), "x0");
+        assertNull(config.loadFieldNames.freeMemory());
+        assertEquals(config.workerIdleTimeoutMicros(), 9_000_000);
+        assertEquals(config.cachedListing.index(), 41);
         assertNull(config.faktory, "off unless its file enables it");
     }
 
--- a/src/test/java/gorserill/program/ToldTest.java
+++ b/src/test/java/gorserill/program/ToldTest.java
@@ -135,8 +135,8 @@
 
     /** All that the parts of a node are given of the settings. */
     private static String effect(NodeConfig c) {
-        return c.settings + " " + c.classNames + c.zones + c.kinds + c.reports + c.connectTimeout + " "
-                + c.connectionIdle + " " + c.drainGrace + c.peers + c.tenantNames + c.classTerms();
+        return c.settings + " " + c.classNames + c.zones + c.workerTypes + c.loadFieldNames + c.connectTimeoutMicros
+                + " " + c.connectionIdleMicros + " " + c.drainGraceMicros + c.peers + c.tenantNames + c.jobClassInfo();
     }
 
     private static Map<String, Boolean> table() throws Exception {
@@ -183,6 +183,6 @@
                 expected.add(row);
             }
         });
-        assertEquals(config(values).unused, expected.stream().sorted().toList());
+        assertEquals(config(values).unusedSettings, expected.stream().sorted().toList());
     }
 }
