--- a/src/main/java/gorserill/program/Bans.java
+++ b/src/main/java/gorserill/program/Bans.java
@@ -18,25 +18,25 @@
 import java.util.logging.Logger;
 
 /**
- * The workers that operators have taken out, by name, in a file that outlasts the process and binds whichever
- * processes of the node run beside it.
+ * The workers that operators have excluded, by name. They are kept in a file that survives the process and is shared
+ * by all processes of the node.
  */
 final class Bans {
     private static final Logger LOG = Logger.getLogger(Bans.class.getName());
 
-    private final String title;
+    private final String header;
     private final Path file;
-    private final Path lock;
+    private final Path lockFile;
     private Set<String> names = new TreeSet<>();
-    /** Tells one state of the file from another. */
-    private Object seen = "";
+    /** Identity, modification time and size of the file when it was last read; empty where there is none. */
+    private Object lastStamp = "";
 
-    /** @param folder where the file is kept; null for nowhere: then bans end with the process */
+    /** @param folder where the file is kept; if null, bans are not stored and end with the process */
     Bans(Path folder, String node) {
-        title = "bans of " + node.lines().findFirst().orElse("");
+        header = "bans of " + node.lines().findFirst().orElse("");
         String key = NodeConfig.fileKey(node) + ".bans";
         file = folder == null ? null : folder.resolve(key);
-        lock = folder == null ? null : folder.resolve(key + ".lock");
+        lockFile = folder == null ? null : folder.resolve(key + ".lock");
         refresh();
     }
 
@@ -48,35 +48,35 @@
         return Set.copyOf(names);
     }
 
-    /** Bans or frees a worker, for all processes of the node; the file is in place when this returns. */
+    /** Adds or lifts the ban of a worker for all processes of the node; the file is in place when this returns. */
     void set(String name, boolean banned) throws IOException {
         if (file == null) {
-            change(names, name, banned);
+            applyBan(names, name, banned);
             return;
         }
-        try (FileChannel channel = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-                FileLock held = channel.lock()) {
+        try (FileChannel channel = FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                FileLock heldLock = channel.lock()) {
             Set<String> changed = new TreeSet<>(read());
-            change(changed, name, banned);
+            applyBan(changed, name, banned);
             List<String> lines = new ArrayList<>(changed);
-            lines.add(0, title);
+            lines.add(0, header);
             lines.add("end " + changed.size());
-            // Danger: a process killed here must not leave half a file in its place.
-            Path fresh =
+            // Written to a temporary file and moved, so that a process killed here leaves no partial file.
+            Path temporary =
                     Files.createTempFile(file.getParent(), file.getFileName().toString(), ".new");
             try {
-                Files.write(fresh, lines);
-                Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
+                Files.write(temporary, lines);
+                Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
             } finally {
-                // A write that failed, on a full disk say, leaves nothing behind.
-                Files.deleteIfExists(fresh);
+                // Removes the temporary file after a failed write, for example on a full disk.
+                Files.deleteIfExists(temporary);
             }
             names = changed;
-            seen = state();
+            lastStamp = fileStamp();
         }
     }
 
-    private static void change(Set<String> names, String name, boolean banned) {
+    private static void applyBan(Set<String> names, String name, boolean banned) {
         if (banned) {
             names.add(name);
         } else {
@@ -84,47 +84,47 @@
         }
     }
 
-    /** Reads the file again, if it is another one than before; gives whose ban has changed. */
+    /** Reads the file again if it has changed, and returns the workers whose ban has changed. */
     Set<String> refresh() {
-        Object now = file == null ? seen : state();
-        if (now.equals(seen)) {
+        Object stamp = file == null ? lastStamp : fileStamp();
+        if (stamp.equals(lastStamp)) {
             return Set.of();
         }
-        seen = now;
+        lastStamp = stamp;
         Set<String> changed = new TreeSet<>(names);
-        Set<String> fresh = read();
-        changed.removeAll(fresh);
-        for (String name : fresh) {
+        Set<String> current = read();
+        changed.removeAll(current);
+        for (String name : current) {
             if (!names.contains(name)) {
                 changed.add(name);
             }
         }
-        names = fresh;
+        names = current;
         return changed;
     }
 
-    private Object state() {
+    private Object fileStamp() {
         try {
-            BasicFileAttributes its = Files.readAttributes(file, BasicFileAttributes.class);
-            return its.fileKey() + " " + its.lastModifiedTime() + " " + its.size();
+            BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+            return attributes.fileKey() + " " + attributes.lastModifiedTime() + " " + attributes.size();
         } catch (IOException e) {
             return "";
         }
     }
 
-    /** What the file says; nobody where it is not whole, or not this node's. */
+    /** Reads the banned names; empty if the file is incomplete or belongs to another node. */
     private Set<String> read() {
         try {
             List<String> lines = Files.readAllLines(file, StandardCharsets.UTF_8);
             int last = lines.size() - 1;
-            if (last > 0 && lines.get(0).equals(title) && lines.get(last).equals("end " + (last - 1))) {
+            if (last > 0 && lines.get(0).equals(header) && lines.get(last).equals("end " + (last - 1))) {
                 return new TreeSet<>(lines.subList(1, last));
             }
             LOG.log(Level.WARNING, "{0} is torn, or another node''s; it bans nobody", file);
         } catch (NoSuchFileException e) {
-            // Nobody has been banned yet.
+            // No worker has been banned yet.
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "{0} can''t be read; it bans nobody: {1}", new Object[] {file, e});
+            LOG.log(Level.WARNING, "bans file {0} can''t be read; no worker is banned: {1}", new Object[] {file, e});
         }
         return new TreeSet<>();
     }
--- a/src/main/java/gorserill/program/ConfigWatch.java
+++ b/src/main/java/gorserill/program/ConfigWatch.java
@@ -7,42 +7,42 @@
 import java.nio.file.attribute.FileTime;
 
 /**
- * Has the configuration read again after its file changed, in place of SIGHUP: for a process that was started
- * with that signal ignored (as {@code nohup} does), where the JVM takes no handler for it.
+ * Polls the configuration file and triggers a reload when it changes. Replaces SIGHUP in a process that was started
+ * with that signal ignored (as {@code nohup} does), since the JVM then accepts no handler for it.
  */
 final class ConfigWatch {
-    /** The file is looked at this often; a change is acted upon at the second look that shows it. */
+    /** Polling period; a change triggers a reload once two successive polls see the same file. */
     static final int PERIOD_MILLIS = 250;
 
-    /** What a change of the file changes. */
+    /** File attributes whose difference indicates a change. */
     private record Stamp(FileTime modified, long bytes, Object file) {}
 
     private final Path file;
-    /** Of what was read last, or when this was made: a change while the node starts is acted upon, too. */
-    private Stamp known;
+    /** Taken at construction or at the last reported change, so that a change during the start is reported too. */
+    private Stamp acceptedStamp;
 
-    private Stamp last;
+    private Stamp previousStamp;
 
-    /** To be made before the file is read for the first time. */
+    /** Must be called before the configuration is first read. */
     ConfigWatch(Path file) {
         this.file = file;
-        known = stamp();
-        last = known;
+        acceptedStamp = stamp();
+        previousStamp = acceptedStamp;
     }
 
-    /** Looks from now on, until the process ends. */
-    void start(Runnable changed) {
-        Thread watcher = new Thread(() -> watch(changed), "configuration watch");
+    /** Polls on a daemon thread until the process ends. */
+    void start(Runnable onChange) {
+        Thread watcher = new Thread(() -> watch(onChange), "configuration watch");
         watcher.setDaemon(true);
         watcher.start();
     }
 
-    private void watch(Runnable changed) {
+    private void watch(Runnable onChange) {
         try {
             for (; ; ) {
                 Thread.sleep(PERIOD_MILLIS);
                 if (isChanged()) {
-                    changed.run();
+                    onChange.run();
                 }
             }
         } catch (InterruptedException e) {
@@ -51,21 +51,21 @@
     }
 
     /**
-     * One look: whether the file is another than the one known, which it is from then on. Danger: it may
-     * still be being written, so it has to look the same twice, and is waited for where it is missing.
+     * Polls once and returns whether the file has changed since the last reported change. A file that is missing
+     * or differs from the previous poll may still be being written; it is reported only once it is stable.
      */
     boolean isChanged() {
-        Stamp now = stamp();
-        boolean settled = now != null && now.equals(last);
-        last = now;
-        if (!settled || now.equals(known)) {
+        Stamp current = stamp();
+        boolean stable = current != null && current.equals(previousStamp);
+        previousStamp = current;
+        if (!stable || current.equals(acceptedStamp)) {
             return false;
         }
-        known = now;
+        acceptedStamp = current;
         return true;
     }
 
-    /** Null where there is no such file. */
+    /** Returns null if the file does not exist. */
     private Stamp stamp() {
         try {
             BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
--- a/src/main/java/gorserill/program/ContractLoader.java
+++ b/src/main/java/gorserill/program/ContractLoader.java
@@ -12,7 +12,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** The descriptions that bind a node's fronts: read, and held against its settings. */
+/** Reads the OpenAPI and AsyncAPI contracts of a node's front ends and checks them against its settings. */
 final class ContractLoader {
     private static final Logger LOG = Logger.getLogger(ContractLoader.class.getName());
 
@@ -21,8 +21,8 @@
     /**
      * Reads a contract.
      *
-     * @param key of the configuration that names the file
-     * @throws ConfigException which tells of all faults, a line each
+     * @param key the configuration key that names the file
+     * @throws ConfigException with all faults, one line each
      */
     static Contract read(String key, Path file, Contract.Kind kind, Map<String, JobRule> rules) throws ConfigException {
         Faults faults = new Faults();
@@ -31,7 +31,7 @@
             throw new ConfigException(key, faults.errors() + " faults in " + file + "\n" + faults.text());
         } else if (contract.kind() != kind) {
             throw new ConfigException(
-                    key, file + " describes another front: " + contract.kind() + " where " + kind + " is due");
+                    key, file + " describes another front: it is " + contract.kind() + ", expected " + kind);
         }
         for (Operation operation : contract.operations()) {
             if (operation.acts() && !operation.submits()) {
@@ -46,7 +46,7 @@
         return contract;
     }
 
-    /** The queues that a contract names outright, and the class of each. */
+    /** The class of each queue that the contract names without a parameter in its address. */
     static Map<String, String> classesByQueue(Contract contract) {
         Map<String, String> queues = new LinkedHashMap<>();
         for (Operation operation : contract.operations()) {
--- a/src/main/java/gorserill/program/FaktoryConfig.java
+++ b/src/main/java/gorserill/program/FaktoryConfig.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** The Faktory front's file: whether it is on, its address and password, what is bound to which class. */
+/** Reads the Faktory front end's settings file: address, password, and the class of each queue and job type. */
 final class FaktoryConfig {
     private FaktoryConfig() {}
 
-    /** What the file says, checked; null where there is none or it does not enable the front. */
+    /** Reads and checks the file; null if it does not exist or does not enable the front end. */
     static FaktoryTerms read(
             Path file, List<String> classNames, Map<String, JobClassInfo> classes, Map<String, JobRule> rules)
             throws ConfigException {
@@ -31,7 +31,7 @@
             queues.putAll(ContractLoader.classesByQueue(contract));
         }
         for (Map.Entry<String, String> queue :
-                bound(file, values, "queues", classes).entrySet()) {
+                readBindings(file, values, "queues", classes).entrySet()) {
             if (contract != null && !queue.getValue().equals(queues.get(queue.getKey()))) {
                 throw new ConfigException(
                         file + ": queues." + queue.getKey(),
@@ -41,7 +41,7 @@
             }
             queues.put(queue.getKey(), queue.getValue());
         }
-        Map<String, String> jobtypes = bound(file, values, "jobtypes", classes);
+        Map<String, String> jobtypes = readBindings(file, values, "jobtypes", classes);
         if (queues.isEmpty() && jobtypes.isEmpty()) {
             throw new ConfigException(file + ": queues", "is missing, and so is jobtypes: nothing is bound");
         }
@@ -55,20 +55,20 @@
                 contract);
     }
 
-    private static Map<String, String> bound(
-            Path file, Map<String, String> values, String under, Map<String, JobClassInfo> classes)
+    private static Map<String, String> readBindings(
+            Path file, Map<String, String> values, String section, Map<String, JobClassInfo> classes)
             throws ConfigException {
-        Map<String, String> bound = new LinkedHashMap<>();
+        Map<String, String> bindings = new LinkedHashMap<>();
         for (Map.Entry<String, String> value : values.entrySet()) {
-            if (value.getKey().startsWith(under + ".")) {
+            if (value.getKey().startsWith(section + ".")) {
                 if (!classes.containsKey(value.getValue())) {
                     throw new ConfigException(
                             file + ": " + value.getKey(),
                             "class '" + value.getValue() + "' is not among the settings' " + classes.keySet());
                 }
-                bound.put(value.getKey().substring(under.length() + 1), value.getValue());
+                bindings.put(value.getKey().substring(section.length() + 1), value.getValue());
             }
         }
-        return bound;
+        return bindings;
     }
 }
--- a/src/main/java/gorserill/program/Handover.java
+++ b/src/main/java/gorserill/program/Handover.java
@@ -22,17 +22,17 @@
 import java.util.logging.Logger;
 
 /**
- * What a process has learned of the workers, written down once a second for the process that takes its place.
- * On the loop's thread, except for the constructor.
+ * Passes learned worker figures to the successor process through a file that is written once a second. Used on the
+ * loop's thread, except for the constructor.
  */
 final class Handover {
     private static final Logger LOG = Logger.getLogger(Handover.class.getName());
     private static final JsonFactory JSON = new JsonFactory();
-    private static final long EVERY = 1_000_000;
-    /** Older figures tell of another time. */
-    private static final long FRESH_MS = 5_000;
+    private static final long WRITE_PERIOD_MICROS = 1_000_000;
+    /** Older files are ignored, since the figures may no longer hold. */
+    private static final long MAX_AGE_MS = 5_000;
 
-    /** What was learned of a worker that started at that time. */
+    /** Learned figures of a worker, valid only for the given start time. */
     record WorkerFigures(long since, List<Double> learned) {}
 
     private final Loop loop;
@@ -49,29 +49,29 @@
         file = folder.resolve(NodeConfig.fileKey(node) + ".learned");
     }
 
-    /** Takes over what was written last, if that was a moment ago. */
+    /** Restores the figures from the file, if it is recent and written by this node. */
     void restore() {
         try {
-            if (System.currentTimeMillis() - Files.getLastModifiedTime(file).toMillis() > FRESH_MS) {
+            if (System.currentTimeMillis() - Files.getLastModifiedTime(file).toMillis() > MAX_AGE_MS) {
                 return;
             }
             Map<String, WorkerFigures> figures = new HashMap<>();
-            List<Double> all = read(figures);
-            if (all != null) {
-                core.restoreLearned(new LearnedState(all, Map.of()));
+            List<Double> shared = read(figures);
+            if (shared != null) {
+                core.restoreLearned(new LearnedState(shared, Map.of()));
                 workers.restoreLearned(figures);
                 LOG.log(Level.INFO, "{0} begins with what was learned of {1} workers", new Object[] {
                     node, figures.size()
                 });
             }
         } catch (NoSuchFileException e) {
-            // There is nobody whose place it takes.
+            // There was no predecessor.
         } catch (IOException e) {
             LOG.log(Level.WARNING, "{0} can''t be read; nothing is taken over: {1}", new Object[] {file, e});
         }
     }
 
-    /** Writes down what is known, now and every second, for as long as {@code serving} says so. */
+    /** Writes the learned figures now and every second; skips a write while {@code serving} is false. */
     void writePeriodically(BooleanSupplier serving) {
         if (serving.getAsBoolean()) {
             try {
@@ -80,7 +80,7 @@
                 LOG.log(Level.FINE, "{0} can''t be written: {1}", new Object[] {file, e});
             }
         }
-        loop.at(loop.now() + EVERY, () -> writePeriodically(serving));
+        loop.at(loop.now() + WRITE_PERIOD_MICROS, () -> writePeriodically(serving));
     }
 
     private void write() throws IOException {
@@ -90,7 +90,7 @@
             write(fresh, learned);
             Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
         } finally {
-            // Danger: a disk that is full fails every write; what each left would keep it full for good.
+            // On a full disk every write fails; leftover temporary files would keep the disk full.
             Files.deleteIfExists(fresh);
         }
     }
@@ -100,15 +100,15 @@
             json.writeStartObject();
             json.writeStringField("node", node);
             json.writeFieldName("all");
-            numbers(json, learned.shared());
+            writeNumbers(json, learned.shared());
             json.writeObjectFieldStart("workers");
             workers.forEachListed((id, entry) -> {
-                List<Double> its = learned.byWorker().get(id);
-                if (its != null) {
+                List<Double> values = learned.byWorker().get(id);
+                if (values != null) {
                     try {
                         json.writeArrayFieldStart(entry.name());
                         json.writeNumber(entry.since());
-                        numbers(json, its);
+                        writeNumbers(json, values);
                         json.writeEndArray();
                     } catch (IOException e) {
                         throw new UncheckedIOException(e);
@@ -122,7 +122,7 @@
         }
     }
 
-    private static void numbers(JsonGenerator json, List<Double> numbers) throws IOException {
+    private static void writeNumbers(JsonGenerator json, List<Double> numbers) throws IOException {
         json.writeStartArray();
         for (double number : numbers) {
             json.writeNumber(number);
@@ -130,7 +130,7 @@
         json.writeEndArray();
     }
 
-    private static List<Double> numbers(JsonParser json) throws IOException {
+    private static List<Double> readNumbers(JsonParser json) throws IOException {
         expect(json.currentToken() == JsonToken.START_ARRAY);
         List<Double> numbers = new ArrayList<>();
         while (json.nextToken() != JsonToken.END_ARRAY) {
@@ -139,19 +139,19 @@
         return numbers;
     }
 
-    /** Gives the figures of no worker in particular; null where the file is another node's. */
+    /** Reads the file into {@code figures} and returns the shared ones; null if it belongs to another node. */
     private List<Double> read(Map<String, WorkerFigures> figures) throws IOException {
-        List<Double> all = null;
-        boolean mine = false;
+        List<Double> shared = null;
+        boolean sameNode = false;
         try (JsonParser json = JSON.createParser(Files.readAllBytes(file))) {
             expect(json.nextToken() == JsonToken.START_OBJECT);
             while (json.nextToken() == JsonToken.FIELD_NAME) {
                 String field = json.currentName();
                 json.nextToken();
                 if (field.equals("node")) {
-                    mine = node.equals(json.getText());
+                    sameNode = node.equals(json.getText());
                 } else if (field.equals("all")) {
-                    all = numbers(json);
+                    shared = readNumbers(json);
                 } else {
                     while (json.nextToken() == JsonToken.FIELD_NAME) {
                         String name = json.currentName();
@@ -159,18 +159,18 @@
                         json.nextToken();
                         long since = json.getLongValue();
                         json.nextToken();
-                        figures.put(name, new WorkerFigures(since, numbers(json)));
+                        figures.put(name, new WorkerFigures(since, readNumbers(json)));
                         json.nextToken();
                     }
                 }
             }
         }
-        return mine ? all : null;
+        return sameNode ? shared : null;
     }
 
-    private static void expect(boolean so) throws IOException {
-        if (!so) {
-            throw new IOException("not what a process writes");
+    private static void expect(boolean condition) throws IOException {
+        if (!condition) {
+            throw new IOException("malformed handover file");
         }
     }
 }
--- a/src/main/java/gorserill/program/JsonFlattener.java
+++ b/src/main/java/gorserill/program/JsonFlattener.java
@@ -12,9 +12,9 @@
 import java.util.TreeMap;
 
 /**
- * Nested JSON as paths and values: objects by name; a list of plain values joined with commas; a list of
- * objects under {@code .count}, {@code .0}, {@code .1} and so forth; spaces and commas in values become
- * underscores. It is the form in which the adapter gets its settings, so that both are decoded by one parser.
+ * Flattens nested JSON to a map from paths to values: objects by name; lists of scalars joined with commas; lists of
+ * objects under {@code .count}, {@code .0}, {@code .1} and so on; spaces and commas in values become underscores.
+ * The simulator's adapter receives its settings in this form too, so one parser decodes both.
  */
 final class JsonFlattener {
     private final Map<String, String> values = new TreeMap<>();
@@ -24,7 +24,7 @@
         this.separator = separator;
     }
 
-    /** What a file says of a part of the node; null where there is none or it leaves that part off. */
+    /** Reads the settings file of an optional part; null if it does not exist or does not enable the part. */
     static Map<String, String> readIfEnabled(Path file) throws ConfigException {
         if (!Files.isRegularFile(file)) {
             return null;
@@ -43,51 +43,51 @@
         return enabled.equals("true") ? values : null;
     }
 
-    /** Reads the value that is the parser's present token. */
+    /** Flattens the value at the parser's current token, with dots between the names of a path. */
     static Map<String, String> flatten(JsonParser json) throws IOException {
         return flatten(json, ".");
     }
 
-    /** The same with another text between the names of a path. */
+    /** Flattens the value at the parser's current token, with the given separator between the names of a path. */
     static Map<String, String> flatten(JsonParser json, String separator) throws IOException {
         JsonFlattener flattener = new JsonFlattener(separator);
-        flattener.value(json, "");
+        flattener.readValue(json, "");
         return flattener.values;
     }
 
-    private void value(JsonParser json, String path) throws IOException {
+    private void readValue(JsonParser json, String path) throws IOException {
         switch (json.currentToken()) {
             case START_OBJECT -> {
                 while (json.nextToken() != JsonToken.END_OBJECT) {
                     String name = json.currentName();
                     json.nextToken();
-                    value(json, path.isEmpty() ? name : path + separator + name);
+                    readValue(json, path.isEmpty() ? name : path + separator + name);
                 }
             }
-            case START_ARRAY -> list(json, path);
+            case START_ARRAY -> readList(json, path);
             case VALUE_NULL -> {}
-            default -> values.put(path, plain(json));
+            default -> values.put(path, scalar(json));
         }
     }
 
-    private void list(JsonParser json, String path) throws IOException {
-        List<String> plain = new ArrayList<>();
+    private void readList(JsonParser json, String path) throws IOException {
+        List<String> scalars = new ArrayList<>();
         int objects = 0;
         while (json.nextToken() != JsonToken.END_ARRAY) {
             if (json.currentToken().isStructStart()) {
-                value(json, path + separator + objects++);
+                readValue(json, path + separator + objects++);
             } else {
-                plain.add(plain(json));
+                scalars.add(scalar(json));
             }
         }
         if (objects > 0) {
             values.put(path + separator + "count", Integer.toString(objects));
         } else {
-            values.put(path, String.join(",", plain));
+            values.put(path, String.join(",", scalars));
         }
     }
 
-    private static String plain(JsonParser json) throws IOException {
+    private static String scalar(JsonParser json) throws IOException {
         return json.getText().replace(' ', '_').replace(',', '_');
     }
 }
--- a/src/main/java/gorserill/program/Lifecycle.java
+++ b/src/main/java/gorserill/program/Lifecycle.java
@@ -10,67 +10,70 @@
 import java.util.logging.Logger;
 
 /**
- * Whether the node takes jobs: its start, its draining and return as operators ask, and its end. All of it is
- * for the loop's thread.
+ * State machine for accepting jobs: start, evacuation and reactivation by operators, and shutdown. Must be used on
+ * the loop's thread only.
  */
 final class Lifecycle {
     private static final Logger LOG = Logger.getLogger(Lifecycle.class.getName());
-    /** A node that drains takes jobs for so long: none is younger than 2 s when 4 s have passed. */
-    private static final long LEAVING_JOBS = 1_900_000;
-    /** After SIGTERM new connections are taken for so long: clients still come. */
-    private static final long LINGER = 500_000;
-    /** SIGKILL comes so long after SIGTERM at the soonest: the longest deadline, cut short, and some more. */
-    private static final long LONGEST_GRACE = 3_000_000;
-
-    private static final long GRACE_OVER_DEADLINE = 700_000;
-    /** So long before that the last job is taken: most are done in less. */
-    private static final long LAST_JOBS = 1_500_000;
-    /** The last answers get so long to leave the machine. */
-    private static final long LAST_ANSWERS = 300_000;
+    /** How long a node being evacuated still accepts jobs; 4 s after the call no open job is younger than 2 s. */
+    private static final long EVACUATION_INTAKE_MICROS = 1_900_000;
+    /** How long new connections are accepted after SIGTERM, because clients are still routed to this node. */
+    private static final long ACCEPT_AFTER_TERM_MICROS = 500_000;
+    /**
+     * The earliest SIGKILL after SIGTERM: the longest class deadline, capped at this value, plus
+     * {@link #GRACE_OVER_DEADLINE_MICROS}.
+     */
+    private static final long MAX_DEADLINE_GRACE_MICROS = 3_000_000;
+
+    private static final long GRACE_OVER_DEADLINE_MICROS = 700_000;
+    /** Jobs are accepted until this long before the earliest SIGKILL; most jobs finish in less. */
+    private static final long INTAKE_END_BEFORE_KILL_MICROS = 1_500_000;
+    /** Time for the last answers to leave the machine. */
+    private static final long ANSWER_FLUSH_MICROS = 300_000;
 
     private enum State {
         STARTING,
         SERVING,
-        LEAVING,
-        EMPTY,
-        ENDING
+        EVACUATING,
+        EVACUATED,
+        SHUTTING_DOWN
     }
 
     private final Loop loop;
     private final String name;
     private final Core core;
-    private final List<ClientFrontend> fronts;
+    private final List<ClientFrontend> frontends;
     private final boolean passedSocket;
     private final Runnable stopListening;
-    private final Runnable ended;
+    private final Runnable onShutdownComplete;
     private State state = State.STARTING;
-    /** The node was told to drain before it served. */
-    private boolean startsEmpty;
+    /** Whether operators have asked for evacuation, possibly before the node was serving. */
+    private boolean evacuationRequested;
 
-    private Deadline closing;
-    /** By then all is answered. */
-    private long lastAnswers;
+    private Deadline intakeEnd;
+    /** Time by which every open request has been answered. */
+    private long answerDeadlineMicros;
 
     /**
-     * @param passedSocket whether another process may take over the clients' socket at any time
-     * @param stopListening ends all listening
-     * @param ended is told once the last answer is given after {@link #shutDown}
+     * @param passedSocket whether another process may take over the client socket at any time
+     * @param stopListening closes all listening sockets
+     * @param onShutdownComplete runs once the last answer after {@link #shutDown} has been sent
      */
     Lifecycle(
             Loop loop,
             String name,
             Core core,
-            List<ClientFrontend> fronts,
+            List<ClientFrontend> frontends,
             boolean passedSocket,
             Runnable stopListening,
-            Runnable ended) {
+            Runnable onShutdownComplete) {
         this.loop = loop;
         this.name = name;
         this.core = core;
-        this.fronts = fronts;
+        this.frontends = frontends;
         this.passedSocket = passedSocket;
         this.stopListening = stopListening;
-        this.ended = ended;
+        this.onShutdownComplete = onShutdownComplete;
     }
 
     boolean isStarting() {
@@ -78,120 +81,127 @@
     }
 
     boolean isEnding() {
-        return state == State.ENDING;
+        return state == State.SHUTTING_DOWN;
     }
 
-    /** Whether this process can serve, also where it was told not to for now. */
+    /** Whether this process is able to serve, even if operators have evacuated it. */
     boolean canServe() {
         return !isStarting() && !isEnding();
     }
 
-    /** Clients are welcome from here on, unless operators said otherwise. */
+    /** Starts accepting jobs, unless operators have already asked for evacuation. */
     void startServing() {
         if (!isStarting()) {
             return;
         }
         state = State.SERVING;
-        if (startsEmpty) {
+        if (evacuationRequested) {
             evacuate();
         } else {
-            fronts.forEach(front -> front.advertiseReady(true));
+            frontends.forEach(frontend -> frontend.advertiseReady(true));
         }
     }
 
-    /** Empties the node, which goes on running. */
+    /** Stops accepting jobs and closes idle connections; the process keeps running. */
     void evacuate() {
-        startsEmpty = true;
+        evacuationRequested = true;
         if (state != State.SERVING) {
             return;
         }
         LOG.log(Level.INFO, "{0} is being emptied: {1} requests open", new Object[] {name, core.openRequests()});
-        state = State.LEAVING;
-        fronts.forEach(front -> {
-            front.advertiseReady(false);
-            front.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
+        state = State.EVACUATING;
+        frontends.forEach(frontend -> {
+            frontend.advertiseReady(false);
+            frontend.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
         });
-        closing = loop.at(loop.now() + LEAVING_JOBS, () -> {
+        intakeEnd = loop.at(loop.now() + EVACUATION_INTAKE_MICROS, () -> {
             LOG.log(Level.INFO, "{0} takes no jobs until told: {1} requests open", new Object[] {
                 name, core.openRequests()
             });
-            state = State.EMPTY;
-            fronts.forEach(front -> {
-                front.setIntakeMode(IntakeMode.CLOSED);
-                front.closeIdle();
+            state = State.EVACUATED;
+            frontends.forEach(frontend -> {
+                frontend.setIntakeMode(IntakeMode.CLOSED);
+                frontend.closeIdle();
             });
         });
     }
 
-    /** Back to work, from whichever stage of being emptied. */
+    /** Accepts jobs again, from any stage of evacuation. */
     void activate() {
-        startsEmpty = false;
-        if (state != State.LEAVING && state != State.EMPTY) {
+        evacuationRequested = false;
+        if (state != State.EVACUATING && state != State.EVACUATED) {
             return;
         }
         LOG.log(Level.INFO, "{0} is back to work", name);
-        loop.cancel(closing);
+        loop.cancel(intakeEnd);
         state = State.SERVING;
-        fronts.forEach(front -> {
-            front.setIntakeMode(IntakeMode.OPEN);
-            front.advertiseReady(true);
+        frontends.forEach(frontend -> {
+            frontend.setIntakeMode(IntakeMode.OPEN);
+            frontend.advertiseReady(true);
         });
     }
 
     /**
-     * Answers what is open, takes what still comes for a while, then ends. Danger: clients go on using the
-     * connections that they have, and the next node may not be up yet: each is kept while a job on it has a
-     * fair chance, and what comes now is answered before SIGKILL may.
+     * Answers the open requests, keeps accepting jobs for a limited time, then shuts down. Clients go on using
+     * their open connections and the next node may not be up yet, so each connection is kept while a job on it
+     * can still finish, and every request accepted now is answered before the earliest SIGKILL.
      *
-     * @param longest the longest deadline of any class
-     * @param elsewhere whether new connections come to another node by now: then the next answer on each is
-     *     its last. Danger: else a client may send on one just as it is closed
+     * @param maxDeadlineMicros the longest deadline of any class
+     * @param newConnectionsGoElsewhere whether another node already receives new connections; then each
+     *     connection is closed after its next answer. Otherwise a client could send a request on a connection just
+     *     as it is closed
      */
-    void shutDown(long longest, boolean elsewhere) {
+    void shutDown(long maxDeadlineMicros, boolean newConnectionsGoElsewhere) {
         if (isEnding()) {
             return;
         }
-        boolean emptied = state == State.LEAVING || state == State.EMPTY;
+        boolean wasEvacuating = state == State.EVACUATING || state == State.EVACUATED;
         LOG.log(Level.INFO, "{0} drains: {1} requests open", new Object[] {name, core.openRequests()});
-        state = State.ENDING;
-        loop.cancel(closing);
-        long kill = loop.now() + Math.min(longest, LONGEST_GRACE) + GRACE_OVER_DEADLINE;
-        lastAnswers = kill - LAST_ANSWERS;
-        core.setAnswerDeadline(lastAnswers);
+        state = State.SHUTTING_DOWN;
+        loop.cancel(intakeEnd);
+        long earliestKill =
+                loop.now() + Math.min(maxDeadlineMicros, MAX_DEADLINE_GRACE_MICROS) + GRACE_OVER_DEADLINE_MICROS;
+        answerDeadlineMicros = earliestKill - ANSWER_FLUSH_MICROS;
+        core.setAnswerDeadline(answerDeadlineMicros);
         if (passedSocket) {
-            // What queues at the socket belongs to the next process; so do the clients after an answer.
+            // Connections waiting in the backlog belong to the next process, as do clients after their next answer.
             stopListening.run();
         } else {
-            fronts.forEach(front -> front.advertiseReady(false));
-            loop.at(loop.now() + LINGER, stopListening);
+            frontends.forEach(frontend -> frontend.advertiseReady(false));
+            loop.at(loop.now() + ACCEPT_AFTER_TERM_MICROS, stopListening);
         }
-        if (passedSocket && !emptied || elsewhere) {
-            fronts.forEach(front -> front.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION));
+        if (passedSocket && !wasEvacuating || newConnectionsGoElsewhere) {
+            frontends.forEach(frontend -> frontend.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION));
         }
-        loop.at(emptied ? loop.now() + LINGER : Math.max(loop.now() + LINGER, kill - LAST_JOBS), this::windDown);
+        loop.at(
+                wasEvacuating
+                        ? loop.now() + ACCEPT_AFTER_TERM_MICROS
+                        : Math.max(loop.now() + ACCEPT_AFTER_TERM_MICROS, earliestKill - INTAKE_END_BEFORE_KILL_MICROS),
+                this::stopIntake);
     }
 
-    private void windDown() {
+    private void stopIntake() {
         LOG.log(Level.INFO, "{0} takes nothing new: {1} requests open", new Object[] {name, core.openRequests()});
-        fronts.forEach(front -> {
-            front.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
-            front.closeIdle();
-            front.announceShutdown();
+        frontends.forEach(frontend -> {
+            frontend.setIntakeMode(IntakeMode.ONE_MORE_PER_CONNECTION);
+            frontend.closeIdle();
+            frontend.announceShutdown();
         });
-        endWhenIdle();
+        completeWhenIdle();
     }
 
     /**
-     * Danger: a request may still come on a connection that was busy, or have come in part; the end waits for
-     * both, as long as SIGKILL lets it.
+     * Completes the shutdown once no request is open. A request may still arrive on a busy connection, or have
+     * arrived in part; both are waited for until the answer deadline.
      */
-    private void endWhenIdle() {
-        core.whenIdle(() -> loop.at(loop.now() + LAST_ANSWERS, () -> {
+    private void completeWhenIdle() {
+        core.whenIdle(() -> loop.at(loop.now() + ANSWER_FLUSH_MICROS, () -> {
             if (core.openRequests() == 0
-                    && (loop.now() >= lastAnswers || fronts.stream().allMatch(ClientFrontend::hasNoClients))) {
-                ended.run();
+                    && (loop.now() >= answerDeadlineMicros
+                            || frontends.stream().allMatch(ClientFrontend::hasNoClients))) {
+                onShutdownComplete.run();
             } else {
-                endWhenIdle();
+                completeWhenIdle();
             }
         }));
     }
--- a/src/main/java/gorserill/program/Logging.java
+++ b/src/main/java/gorserill/program/Logging.java
@@ -6,9 +6,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.logging.LogManager;
 
-/** Sets java.util.logging up: a line a record, on standard error. */
+/** Configures java.util.logging: one line per record, on standard error. */
 final class Logging {
-    private static final String SET_UP = """
+    private static final String BASE_CONFIGURATION = """
         handlers=java.util.logging.ConsoleHandler
         .level=INFO
         java.util.logging.ConsoleHandler.level=ALL
@@ -23,13 +23,13 @@
         setUp("INFO");
     }
 
-    /** @param otherwise the level where {@code GORSERILL_LOG} says none */
-    static void setUp(String otherwise) {
-        String level = System.getenv().getOrDefault("GORSERILL_LOG", otherwise);
+    /** @param defaultLevel the level if {@code GORSERILL_LOG} is not set */
+    static void setUp(String defaultLevel) {
+        String level = System.getenv().getOrDefault("GORSERILL_LOG", defaultLevel);
         try {
             LogManager.getLogManager()
                     .readConfiguration(new ByteArrayInputStream(
-                            (SET_UP + "gorserill.level=" + level + "\n").getBytes(StandardCharsets.UTF_8)));
+                            (BASE_CONFIGURATION + "gorserill.level=" + level + "\n").getBytes(StandardCharsets.UTF_8)));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/main/java/gorserill/program/Main.java
+++ b/src/main/java/gorserill/program/Main.java
@@ -13,8 +13,8 @@
 import sun.misc.SignalHandler;
 
 /**
- * Where the program begins: {@code serve} runs a node, {@code adapter} its decisions on the simulator's wire,
- * {@code rehearse} a node's start for the build; all else is the command line's ({@link Gorserill}).
+ * The program's entry point: {@code serve} runs a node, {@code adapter} connects the dispatcher to the simulator's
+ * protocol, {@code rehearse} runs a node's start for the build; {@link Gorserill} parses all other commands.
  */
 public final class Main {
     private static final Logger LOG = Logger.getLogger(Main.class.getName());
@@ -22,9 +22,9 @@
     private Main() {}
 
     /**
-     * Exit status 0 at the end, 1 on a fault, 2 on a wrong command line or configuration. Danger: the parser
-     * of the command line costs as much to load as a tenth of a node's start, so what the deployment starts,
-     * a command alone, goes past it.
+     * Exits with status 0 on success, 1 on a fault, 2 on an invalid command line or configuration. Commands without
+     * arguments, which deployments use, bypass the command line parser: loading it takes a tenth of a node's start
+     * time.
      */
     public static void main(String[] args) throws IOException, InterruptedException {
         switch (args.length == 1 ? args[0] : "") {
@@ -34,13 +34,16 @@
             default ->
                 System.exit(Gorserill.execute(
                         args,
-                        new Brought("serve", "Runs a node, as NODE_CONFIG says.", Main::serve),
+                        new Brought(
+                                "serve",
+                                "Runs a node with the configuration file that NODE_CONFIG names.",
+                                Main::serve),
                         new Brought(
                                 "demo",
-                                "Runs a node with workers on this machine, and shows what becomes of jobs.",
+                                "Runs a node with workers on this machine and shows the progress of jobs.",
                                 Main::demo),
-                        new Brought("adapter", "Runs the decisions on the simulator's wire.", Main::adapter),
-                        new Brought("rehearse", "Runs a node's start, for the archive of classes.", Main::rehearse)));
+                        new Brought("adapter", "Runs the dispatcher on the simulator's protocol.", Main::adapter),
+                        new Brought("rehearse", "Runs a node's start to record the class archive.", Main::rehearse)));
         }
     }
 
@@ -67,7 +70,7 @@
         return 0;
     }
 
-    /** Ctrl-C ends the JVM; nothing here needs to be told before. */
+    /** Blocks until Ctrl-C ends the JVM; no cleanup is needed. */
     private static void untilInterrupted() {
         try {
             new CountDownLatch(1).await();
@@ -90,13 +93,14 @@
 
     private static int serve() throws InterruptedException {
         Logging.setUp();
-        // Danger: left alone, SIGHUP ends the JVM, and it may come before there is anything to reload.
-        // Ignored (SIG_IGN) it would stay so: the JVM then takes no other handler.
-        SignalHandler before =
-                Signal.handle(new Signal("HUP"), signal -> LOG.info("SIGHUP before the start: nothing to reload"));
+        // Without a handler, SIGHUP terminates the JVM, and it may arrive before there is a node to reload. The signal
+        // is handled, not ignored (SIG_IGN), because the JVM accepts no other handler after that.
+        SignalHandler previousHandler = Signal.handle(
+                new Signal("HUP"),
+                signal -> LOG.info("SIGHUP received before the start; there is no configuration to reload"));
         ConfigWatch watch = null;
-        if (before == SignalHandler.SIG_IGN) {
-            // The JVM leaves it ignored where whoever starts it does (nohup): nothing here can change that.
+        if (previousHandler == SignalHandler.SIG_IGN) {
+            // If the parent process ignored SIGHUP (nohup), the JVM keeps ignoring it and accepts no handler.
             LOG.warning("SIGHUP was ignored when this process was started, and stays so: the file that "
                     + "NODE_CONFIG names is read again whenever it changes");
             watch = new ConfigWatch(Path.of(System.getenv().getOrDefault("NODE_CONFIG", "")));
@@ -116,7 +120,7 @@
             watch.start(node::reload);
         }
         try {
-            // The list is asked for first, and comes while the program warms up.
+            // Requests the worker list first, so that it arrives during the warm-up.
             node.prepare();
             WarmUp.run(node.settings());
             node.open();
--- a/src/main/java/gorserill/program/Maintenance.java
+++ b/src/main/java/gorserill/program/Maintenance.java
@@ -7,18 +7,18 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Takes workers out by hand and puts them back, whichever way they are known to the node. */
+/** Excludes workers on an operator's call and puts them back, both listed HTTP workers and Faktory workers. */
 final class Maintenance {
     private static final Logger LOG = Logger.getLogger(Maintenance.class.getName());
-    /** What another process of the node was told holds here so much later at most. */
-    private static final long LOOK_AGAIN = 100_000;
+    /** Longest delay until a ban set through another process of the node takes effect here. */
+    private static final long POLL_PERIOD_MICROS = 100_000;
 
     private final Loop loop;
     private final Bans bans;
     private final WorkerDirectory workers;
     private final FaktoryFront faktory;
 
-    /** @param faktory null where that front is off */
+    /** @param faktory null where the Faktory front end is disabled */
     Maintenance(Loop loop, Bans bans, WorkerDirectory workers, FaktoryFront faktory) {
         this.loop = loop;
         this.bans = bans;
@@ -26,23 +26,24 @@
         this.faktory = faktory;
     }
 
-    /** Sees to it that other processes' calls hold here, too. */
+    /** Applies bans set through other processes of the node, now and periodically. */
     void pollBans() {
         apply(bans.refresh());
-        loop.at(loop.now() + LOOK_AGAIN, this::pollBans);
+        loop.at(loop.now() + POLL_PERIOD_MICROS, this::pollBans);
     }
 
-    /** Gives why it can't be done; null where it is. */
-    String setBanned(String worker, boolean out) {
-        // Danger: another process may just have changed it, and a call that seems needless would do nothing.
+    /** Sets or lifts a ban; returns the reason for a refusal, or null on success. */
+    String setBanned(String worker, boolean banned) {
+        // Another process may have changed the ban since the last poll; on stale bans this call could wrongly do
+        // nothing.
         apply(bans.refresh());
         boolean known = workers.isKnown(worker) || faktory != null && faktory.knows(worker);
-        if (!known && !(bans.contains(worker) && !out)) {
+        if (!known && !(bans.contains(worker) && !banned)) {
             return worker.isEmpty() ? "no worker is named" : "no such worker was ever listed";
         }
-        if (bans.contains(worker) != out) {
+        if (bans.contains(worker) != banned) {
             try {
-                bans.set(worker, out);
+                bans.set(worker, banned);
             } catch (IOException e) {
                 LOG.log(Level.SEVERE, "the bans can''t be kept: {0}", e.toString());
                 return "the bans can't be kept";
--- a/src/main/java/gorserill/program/Node.java
+++ b/src/main/java/gorserill/program/Node.java
@@ -33,65 +33,68 @@
 import java.util.stream.Collectors;
 import org.glassfish.grizzly.filterchain.Filter;
 
-/** A running node: its parts put together, its start and its end. */
+/** Assembles the parts of a node, and starts, reloads and stops them. */
 final class Node {
     private static final Logger LOG = Logger.getLogger(Node.class.getName());
-    private static final int MAX_LISTING = 4 * 1024 * 1024;
+    private static final int MAX_LISTING_BYTES = 4 * 1024 * 1024;
     /**
-     * A node without discovery serves from the list it knew so long after it opened. Danger: what an agent
-     * has counts as told from the first moment, so its first word is waited for as long as it could come.
+     * How long after opening a node waits for its first list from discovery before it serves from the cached list.
+     * With an agent it waits for the agent's full timeout instead, because the agent's current list counts as
+     * available from the start.
      */
-    private static final long FIRST_LIST = 50_000;
-    /** An address that is still in use is tried this often. */
-    private static final long BIND_AGAIN = 100_000;
+    private static final long FIRST_LIST_TIMEOUT_MICROS = 50_000;
+    /** Interval between attempts to bind an address that is still in use. */
+    private static final long BIND_RETRY_MICROS = 100_000;
 
-    private static final long MINUTE = 60_000_000;
+    private static final long MINUTE_MICROS = 60_000_000;
     private static final String BUILD = "0.1.0";
 
     private final NodeConfig config;
     private final Map<String, String> environment;
     private final Loop loop = new Loop(e -> LOG.log(Level.SEVERE, "an event failed; the node goes on", e))
-            .onPause(paused -> LOG.log(Level.WARNING, "the process was held up for {0} ms", paused / 1_000));
+            .onPause(pauseMicros -> LOG.log(Level.WARNING, "the process was held up for {0} ms", pauseMicros / 1_000));
     private final SiblingProcesses siblings;
     private final Transport transport;
-    private final MemoryBudget room;
-    private final CountDownLatch done = new CountDownLatch(1);
-    private final CountDownLatch readied = new CountDownLatch(1);
+    private final MemoryBudget bodyBudget;
+    private final CountDownLatch drained = new CountDownLatch(1);
+    private final CountDownLatch clientsServed = new CountDownLatch(1);
     private Core core;
-    private HttpFrontend front;
-    private ContractGate gate;
+    private HttpFrontend httpFrontend;
+    private ContractGate httpGate;
     private WorkerDirectory workers;
-    private HttpWatch watch;
-    /** Null where other nodes are not spoken to. */
+    private HttpWatch discoveryWatch;
+    /** Null if no messages are exchanged with other nodes. */
     private volatile PeerPort peers;
 
-    private FaktoryFront faktory;
-    /** Null where the node is no member of a cluster. */
+    private FaktoryFront faktoryFront;
+    /** Null if the node is not a member of a cluster. */
     private ClusterPart cluster;
 
     private Lifecycle lifecycle;
     private NodeMetrics metrics;
     private final List<Transport.Listener> listeners = new ArrayList<>();
-    private boolean opened;
-    /** The last word of discovery that came before the fronts were open; null if there was none. */
-    private String heardBeforeOpen;
+    private boolean frontendsOpen;
+    /** Reason to be ready from the latest list that arrived before the front ends were open; null if none did. */
+    private String reasonBeforeOpen;
 
-    /** @param environment what the configuration was read from, and will be read from again */
+    /** @param environment the variables from which the configuration was read and is read again on reload */
     Node(NodeConfig config, Map<String, String> environment) {
         this.config = config;
         this.environment = Map.copyOf(environment);
-        room = new MemoryBudget(config.bodyBudgetBytes());
+        bodyBudget = new MemoryBudget(config.bodyBudgetBytes());
         siblings = siblings(config);
         transport = new Transport(loop, config.connectionBudget(), siblings, config.maxInputAgeMicros());
     }
 
-    /** Danger: beside an old process a new one must not use up what limits give to both. */
-    private SiblingProcesses siblings(NodeConfig its) {
-        if (its.stateFolder != null && its.passedSocket) {
+    /** While an old and a new process run side by side, they share the descriptor limit through a file. */
+    private SiblingProcesses siblings(NodeConfig nodeConfig) {
+        if (nodeConfig.stateFolder != null && nodeConfig.passedSocket) {
             try {
-                return SiblingProcesses.join(loop, its.stateFolder, NodeConfig.fileKey(its.name), its.ownDescriptors());
+                return SiblingProcesses.join(
+                        loop, nodeConfig.stateFolder, NodeConfig.fileKey(nodeConfig.name), nodeConfig.ownDescriptors());
             } catch (IOException e) {
-                LOG.log(Level.WARNING, "{0} can''t tell other processes of its limits: {1}", new Object[] {its.name, e
+                LOG.log(Level.WARNING, "{0} can''t tell other processes of its limits: {1}", new Object[] {
+                    nodeConfig.name, e
                 });
             }
         }
@@ -107,7 +110,7 @@
         return config.settings;
     }
 
-    /** Starts all but the fronts. */
+    /** Starts everything except the client front ends. */
     void prepare() throws IOException {
         if (!config.unusedSettings.isEmpty()) {
             LOG.log(Level.INFO, "{0} is told and does not use: {1}", new Object[] {
@@ -116,7 +119,7 @@
         }
         transport.start();
         transport.trackProcessPauses();
-        HttpWorker.Config terms = new HttpWorker.Config(
+        HttpWorker.Config workerConfig = new HttpWorker.Config(
                 loop,
                 transport,
                 transport.chain(HttpCodec.client(loop, Integer.MAX_VALUE)),
@@ -125,55 +128,55 @@
                 config.connectTimeoutMicros,
                 config.workerIdleTimeoutMicros(),
                 new ThrottledWarnings(loop, Logger.getLogger(HttpWorker.class.getName()), "workers' answers"));
-        watch = new HttpWatch(
+        discoveryWatch = new HttpWatch(
                 loop,
                 transport.withSeparateBudget(HttpWatch.MAX_CONNECTIONS),
-                transport.chainForStateUpdates(HttpCodec.client(loop, MAX_LISTING)),
+                transport.chainForStateUpdates(HttpCodec.client(loop, MAX_LISTING_BYTES)),
                 config.discovery,
                 new CallPace(config.settings.dispatchers(), !config.settings.listOnDemand(), config.seed),
-                this::heard,
+                this::listReceived,
                 this::watchFailed);
         if (config.cachedListing != null) {
-            watch.startFrom(config.cachedListing);
+            discoveryWatch.startFrom(config.cachedListing);
         }
-        core = new Core(loop, config.settings, config.seed, watch::start, siblings);
+        core = new Core(loop, config.settings, config.seed, discoveryWatch::start, siblings);
         core.setDescriptorShortage(transport::isNearDescriptorLimit);
         Bans bans = new Bans(config.stateFolder, config.name);
-        workers = new WorkerDirectory(loop, core, terms, config.zones, config.workerTypes, bans::contains);
-        ThrottledWarnings answers = new ThrottledWarnings(
+        workers = new WorkerDirectory(loop, core, workerConfig, config.zones, config.workerTypes, bans::contains);
+        ThrottledWarnings mismatchWarnings = new ThrottledWarnings(
                 loop, Logger.getLogger(ContractGate.class.getName()), "workers' answers not as described");
         Tenants tenants = new Tenants(config.tenantNames);
         if (config.faktory != null) {
-            faktory = new FaktoryFront(
+            faktoryFront = new FaktoryFront(
                     loop,
                     core,
                     config.faktory,
                     tenants,
-                    new ContractGate(loop, config.maxDedupWindowMicros(), answers),
+                    new ContractGate(loop, config.maxDedupWindowMicros(), mismatchWarnings),
                     config.seed,
-                    room,
+                    bodyBudget,
                     bans::contains);
         }
-        gate = new ContractGate(loop, config.maxDedupWindowMicros(), answers);
-        gate.replace(config.contract);
-        front = new HttpFrontend(loop, core, config.jobClassInfo(), tenants, gate, room);
+        httpGate = new ContractGate(loop, config.maxDedupWindowMicros(), mismatchWarnings);
+        httpGate.replace(config.contract);
+        httpFrontend = new HttpFrontend(loop, core, config.jobClassInfo(), tenants, httpGate, bodyBudget);
         lifecycle = new Lifecycle(
                 loop,
                 config.name,
                 core,
-                faktory == null ? List.of(front) : List.of(front, faktory),
+                faktoryFront == null ? List.of(httpFrontend) : List.of(httpFrontend, faktoryFront),
                 config.passedSocket,
                 () -> listeners.forEach(Transport.Listener::stopAccepting),
-                done::countDown);
+                drained::countDown);
         if (config.cachedListing != null) {
             workers.update(ListKind.CACHED, config.cachedListing);
         }
         if (!config.settings.listOnDemand()) {
-            watch.start();
+            discoveryWatch.start();
         }
-        loop.at(loop.now() + MINUTE, this::tellMinute);
-        metrics = new NodeMetrics(config.classNames, core, workers, faktory, loop, watch.statistics());
-        Maintenance maintenance = new Maintenance(loop, bans, workers, faktory);
+        loop.at(loop.now() + MINUTE_MICROS, this::logLastMinute);
+        metrics = new NodeMetrics(config.classNames, core, workers, faktoryFront, loop, discoveryWatch.statistics());
+        Maintenance maintenance = new Maintenance(loop, bans, workers, faktoryFront);
         if (config.stateFolder != null) {
             maintenance.pollBans();
         }
@@ -184,7 +187,7 @@
         }
         loop.start();
         if (config.peers != null) {
-            loop.execute(this::hearPeers);
+            loop.execute(this::openPeerPort);
         }
         if (config.cluster != null) {
             cluster =
@@ -203,47 +206,48 @@
         }
     }
 
-    /** Opens the fronts to clients; a socket that was passed on waits until the node is ready. */
+    /** Opens the client front ends; an inherited socket is opened only once the node is ready. */
     void open() throws IOException {
         if (!config.passedSocket) {
-            Filter codec = HttpCodec.server(transport::earliestArrivalMicros, HttpFrontend.MAX_BODY_BYTES, room);
-            listening("clients", config.listen, transport.listen(config.listen, codec, front::accept));
+            Filter codec = HttpCodec.server(transport::earliestArrivalMicros, HttpFrontend.MAX_BODY_BYTES, bodyBudget);
+            registerListener("clients", config.listen, transport.listen(config.listen, codec, httpFrontend::accept));
         }
-        if (faktory != null) {
-            InetSocketAddress at = config.faktory.listen();
-            Binding binding = () -> transport.listen(at, new FaktoryCodec(room), faktory::accept);
+        if (faktoryFront != null) {
+            InetSocketAddress address = config.faktory.listen();
+            Binding binding = () -> transport.listen(address, new FaktoryCodec(bodyBudget), faktoryFront::accept);
             if (config.passedSocket) {
-                loop.execute(() -> listenOnceFree("Faktory", at, binding));
+                loop.execute(() -> listenOnceFree("Faktory", address, binding));
             } else {
-                listening("Faktory", at, binding.bind());
+                registerListener("Faktory", address, binding.bind());
             }
         }
-        loop.execute(this::opened);
-        // Danger: a node that knows of no worker would draw clients and refuse them all.
+        loop.execute(this::onFrontendsOpen);
+        // Without any known worker the node would attract clients and refuse them all.
         if (config.cachedListing != null && !config.cachedListing.entries().isEmpty()) {
-            long first = config.settings.listOnDemand() ? FIRST_LIST : CallPace.AGENT_TIMEOUT_MS * 1_000;
-            loop.execute(() -> loop.at(loop.now() + first, () -> ready("no word from discovery yet")));
+            long timeoutMicros =
+                    config.settings.listOnDemand() ? FIRST_LIST_TIMEOUT_MICROS : CallPace.AGENT_TIMEOUT_MS * 1_000;
+            loop.execute(() -> loop.at(loop.now() + timeoutMicros, () -> becomeReady("no word from discovery yet")));
         }
     }
 
-    /** Danger: discovery may have spoken already, and the next time that it does so may be far off. */
-    private void opened() {
-        opened = true;
-        if (heardBeforeOpen != null) {
-            ready(heardBeforeOpen);
+    /** A list may have arrived already, and the next one may arrive much later. */
+    private void onFrontendsOpen() {
+        frontendsOpen = true;
+        if (reasonBeforeOpen != null) {
+            becomeReady(reasonBeforeOpen);
         }
     }
 
-    /** Danger: the process before this one may hold the address until it ends; nothing waits for that. */
-    private void hearPeers() {
+    /** Opens the port for other nodes; retries without blocking while the previous process still holds the address. */
+    private void openPeerPort() {
         try {
             peers = new PeerPort(loop, config.peers, core::receivedFromPeer);
             core.setPeerSender(peers::broadcast);
             LOG.log(Level.INFO, "{0} hears other nodes at {1}", new Object[] {config.name, config.peers.listen()});
         } catch (IOException e) {
-            LOG.log(Level.FINE, "{0} can''t hear other nodes yet: {1}", new Object[] {config.name, e});
+            LOG.log(Level.FINE, "{0} can''t open the port for other nodes yet: {1}", new Object[] {config.name, e});
             if (!lifecycle.isEnding()) {
-                loop.at(loop.now() + BIND_AGAIN, this::hearPeers);
+                loop.at(loop.now() + BIND_RETRY_MICROS, this::openPeerPort);
             }
         }
     }
@@ -253,24 +257,24 @@
         Transport.Listener bind() throws IOException;
     }
 
-    /** Danger: the process before this one may hold the address until it ends; nothing waits for that. */
-    private void listenOnceFree(String whom, InetSocketAddress at, Binding binding) {
+    /** Binds an address; retries without blocking while the previous process still holds it. */
+    private void listenOnceFree(String clientKind, InetSocketAddress address, Binding binding) {
         try {
-            listening(whom, at, binding.bind());
+            registerListener(clientKind, address, binding.bind());
         } catch (IOException e) {
-            LOG.log(Level.FINE, "{0} can''t listen for {1} yet: {2}", new Object[] {config.name, whom, e});
+            LOG.log(Level.FINE, "{0} can''t listen for {1} yet: {2}", new Object[] {config.name, clientKind, e});
             if (!lifecycle.isEnding()) {
-                loop.at(loop.now() + BIND_AGAIN, () -> listenOnceFree(whom, at, binding));
+                loop.at(loop.now() + BIND_RETRY_MICROS, () -> listenOnceFree(clientKind, address, binding));
             }
         }
     }
 
-    private void listening(String whom, InetSocketAddress at, Transport.Listener listener) {
+    private void registerListener(String clientKind, InetSocketAddress address, Transport.Listener listener) {
         listeners.add(listener);
-        LOG.log(Level.INFO, "{0} listens for {1} at {2}", new Object[] {config.name, whom, at});
+        LOG.log(Level.INFO, "{0} listens for {1} at {2}", new Object[] {config.name, clientKind, address});
     }
 
-    private void tellMinute() {
+    private void logLastMinute() {
         Runtime jvm = Runtime.getRuntime();
         LOG.log(
                 Level.INFO,
@@ -281,81 +285,82 @@
                     core.openRequests(),
                     transport.connectionCount(),
                     (jvm.totalMemory() - jvm.freeMemory()) >> 20,
-                    room.used() >> 10
+                    bodyBudget.used() >> 10
                 });
-        loop.at(loop.now() + MINUTE, this::tellMinute);
+        loop.at(loop.now() + MINUTE_MICROS, this::logLastMinute);
     }
 
-    private void heard(WorkerListing listing) {
+    private void listReceived(WorkerListing listing) {
         workers.update(listing.whole() ? ListKind.WHOLE : ListKind.CHANGES, listing);
-        String why = "list " + listing.index() + " heard";
-        if (!opened) {
-            heardBeforeOpen = why;
+        String reason = "list " + listing.index() + " heard";
+        if (!frontendsOpen) {
+            reasonBeforeOpen = reason;
         }
-        ready(why);
+        becomeReady(reason);
     }
 
     private void watchFailed() {
         core.updateWorkers(ListKind.FAILED, List.of(), Map.of());
     }
 
-    private void ready(String why) {
-        if (!opened || !lifecycle.isStarting()) {
+    private void becomeReady(String reason) {
+        if (!frontendsOpen || !lifecycle.isStarting()) {
             return;
         }
         if (config.passedSocket) {
             try {
-                // Danger: whoever is accepted must be served, so nobody is before the node is ready.
-                listening(
+                // Every accepted client must be served, so none is accepted before the node is ready.
+                registerListener(
                         "clients",
                         config.listen,
                         transport.listenOnInherited(
-                                HttpCodec.server(transport::earliestArrivalMicros, HttpFrontend.MAX_BODY_BYTES, room),
-                                front::accept));
+                                HttpCodec.server(
+                                        transport::earliestArrivalMicros, HttpFrontend.MAX_BODY_BYTES, bodyBudget),
+                                httpFrontend::accept));
             } catch (IOException e) {
                 LOG.log(Level.SEVERE, "the passed socket can''t be used: {0}", e.getMessage());
-                loop.at(loop.now() + BIND_AGAIN, () -> ready(why));
+                loop.at(loop.now() + BIND_RETRY_MICROS, () -> becomeReady(reason));
                 return;
             }
         }
-        LOG.log(Level.INFO, "{0} is ready: {1}", new Object[] {config.name, why});
+        LOG.log(Level.INFO, "{0} is ready: {1}", new Object[] {config.name, reason});
         if (cluster != null) {
             cluster.start();
         }
         lifecycle.startServing();
-        readied.countDown();
+        clientsServed.countDown();
     }
 
-    /** Waits until clients are served. */
+    /** Blocks until clients are served. */
     void awaitReady() throws InterruptedException {
-        readied.await();
+        clientsServed.await();
     }
 
     /**
-     * Reads the configuration again and goes by it, as far as a running node can; a faulty one changes
-     * nothing. Any thread but the loop's may call it: reading and checking must not hold up requests.
+     * Reads the configuration again and applies what a running node can change; an invalid one changes nothing. Must
+     * not be called on the loop's thread, since reading and checking would delay requests.
      */
     synchronized void reload() {
-        read(fault -> {});
+        readAndApply(error -> {});
     }
 
-    /** The same from the loop's thread; what is wrong, or null, is told there once it is known. */
+    /** Reloads on a separate thread; the error, or null, is passed to {@code outcome} on the loop's thread. */
     private void reload(Consumer<String> outcome) {
-        Thread reader = new Thread(
+        Thread thread = new Thread(
                 () -> {
                     synchronized (this) {
-                        read(outcome);
+                        readAndApply(outcome);
                     }
                 },
                 "reload");
-        reader.setDaemon(true);
-        reader.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
-    private void read(Consumer<String> outcome) {
+    private void readAndApply(Consumer<String> outcome) {
         try {
-            NodeConfig fresh = NodeConfig.readForReload(environment);
-            loop.execute(() -> outcome.accept(apply(fresh)));
+            NodeConfig newConfig = NodeConfig.readForReload(environment);
+            loop.execute(() -> outcome.accept(apply(newConfig)));
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "reload: the configuration can't be read; the old one stays in force", e);
             loop.execute(() -> {
@@ -372,38 +377,39 @@
     }
 
     private String contracts() {
-        return gate.describe("http") + (faktory == null ? "" : faktory.gate().describe("faktory")) + "eof\n";
+        return httpGate.describe("http")
+                + (faktoryFront == null ? "" : faktoryFront.gate().describe("faktory")) + "eof\n";
     }
 
-    /** Gives what keeps the contracts from being replaced; null for nothing. */
-    private String apply(NodeConfig fresh) {
+    /** Applies a new configuration; returns the reason why the contracts were not replaced, or null if they were. */
+    private String apply(NodeConfig newConfig) {
         LOG.log(Level.INFO, "{0}: configuration read again", config.name);
         metrics.recordReload(true);
-        for (String key : config.fixedKeysChangedIn(fresh)) {
+        for (String key : config.fixedKeysChangedIn(newConfig)) {
             LOG.log(Level.WARNING, "reload: {0} is changed, which holds from the next start on", key);
         }
-        watch.moveTo(fresh.discovery);
-        if (cluster != null && fresh.cluster != null) {
-            cluster.reload(fresh.cluster);
+        discoveryWatch.moveTo(newConfig.discovery);
+        if (cluster != null && newConfig.cluster != null) {
+            cluster.reload(newConfig.cluster);
         }
-        if (config.sameClasses(fresh)) {
-            gate.replace(fresh.contract);
-            if (faktory != null && fresh.faktory != null) {
-                faktory.reload(fresh.faktory);
+        if (config.sameClasses(newConfig)) {
+            httpGate.replace(newConfig.contract);
+            if (faktoryFront != null && newConfig.faktory != null) {
+                faktoryFront.reload(newConfig.faktory);
             }
             return null;
         }
         return "the classes of the settings are changed, which holds from the next start on; so do the " + "contracts";
     }
 
-    /** Answers what is open, takes what still comes for a while, then ends; any thread may call it. */
+    /** Answers the open requests, keeps accepting jobs for a limited time, then ends; may be called on any thread. */
     void drain() {
-        Consumer<Boolean> end = elsewhere -> loop.execute(() -> lifecycle.shutDown(
+        Consumer<Boolean> end = newConnectionsGoElsewhere -> loop.execute(() -> lifecycle.shutDown(
                 config.settings.classes().stream()
                         .mapToLong(c -> c.deadline())
                         .max()
                         .orElse(0),
-                elsewhere));
+                newConnectionsGoElsewhere));
         if (cluster != null) {
             cluster.leave(end);
         } else {
@@ -411,9 +417,9 @@
         }
     }
 
-    /** Waits until the node has drained, then lets go of everything. */
+    /** Blocks until the node has drained, then releases all resources. */
     void awaitEnd() throws InterruptedException {
-        done.await();
+        drained.await();
         LOG.log(Level.INFO, "{0} ends, {1} requests open", new Object[] {config.name, core.openRequests()});
         if (cluster != null) {
             cluster.stop();
@@ -421,7 +427,7 @@
         stop();
     }
 
-    /** Lets go of everything at once. */
+    /** Releases all resources immediately. */
     void stop() {
         if (peers != null) {
             peers.stop();
--- a/src/main/java/gorserill/program/NodeConfig.java
+++ b/src/main/java/gorserill/program/NodeConfig.java
@@ -26,35 +26,34 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** The node's configuration: the one place where it is read, gets its defaults and is checked. */
+/** Reads, defaults and checks the node's configuration. */
 public final class NodeConfig {
-    /** A machine that is busy may hold a process up so long between two of its steps, microseconds. */
-    private static final long HOLD_UP = 150_000;
+    /** Longest expected pause of the process between two steps on a busy machine. */
+    private static final long MAX_PROCESS_PAUSE_MICROS = 150_000;
 
-    private static final long LEAST_FACT_AGE = 20_000;
+    private static final long MIN_INPUT_AGE_MICROS = 20_000;
 
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int DEFAULT_MEMORY_MB = 128;
-    /** Descriptors kept for the program itself: the jar, the selector, logs, listeners, discovery. */
+    /** Descriptors reserved for the program itself: the jar, the selector, logs, listeners, discovery. */
     private static final int OWN_DESCRIPTORS = 40;
-    /** Connections of operators at a time. */
+    /** Most concurrent connections of operators. */
     static final int ADMIN_CONNECTIONS = 24;
 
     final String name;
     final InetSocketAddress listen;
-    /** Where operators' calls come in; null where nowhere. */
+    /** Address for operators' calls; null if they are disabled. */
     final InetSocketAddress admin;
-    /** Whether the clients' socket is descriptor 0, open already, instead of one to be bound. */
+    /** Whether the client socket is inherited as descriptor 0 instead of being bound here. */
     final boolean passedSocket;
 
     final InetSocketAddress discovery;
     final long seed;
     final int maxSockets;
-    /** Bytes. */
     final long memoryBytes;
-    /** Where files outlast the process; null where nowhere. */
+    /** Folder for files that survive the process; null if nothing is stored. */
     final Path stateFolder;
-    /** Null where the node was told none. */
+    /** Worker list to start from; null if the configuration has none. */
     final WorkerListing cachedListing;
 
     final Settings settings;
@@ -62,23 +61,23 @@
     final List<String> zones;
     final List<String> workerTypes;
     final LoadFieldNames loadFieldNames;
-    /** Where other nodes are heard and spoken to; null where nowhere. */
+    /** Addresses for messages between nodes; null if none are exchanged. */
     final PeerPort.Addresses peers;
-    /** In the settings' order; none where the deployment has no tenants. */
+    /** In the settings' order; empty if the deployment has no tenants. */
     final List<String> tenantNames;
-    /** Settings that the deployment tells and this node does not use. */
+    /** Settings of the deployment that this node does not use. */
     final List<String> unusedSettings;
 
     final long connectTimeoutMicros;
-    /** How long after word of a drain a first byte may still go out. */
+    /** How long after a drain is announced the first byte of a job may still be sent to the worker. */
     final long drainGraceMicros;
 
     final long connectionIdleMicros;
-    /** Null where the front is off. */
+    /** Null if the Faktory front end is disabled. */
     final FaktoryTerms faktory;
-    /** Null where the node is no member of a cluster. */
+    /** Null if the node is not a member of a cluster. */
     final ClusterConfig cluster;
-    /** Null where no description binds the HTTP front: then its paths are the classes' names. */
+    /** The HTTP front end's contract; if null, its paths are the class names. */
     final Contract contract;
 
     private final Map<String, String> values;
@@ -95,26 +94,27 @@
         listen = address(top, "listen");
         discovery = address(top, "discovery");
         admin = top.getOrDefault("admin_addr", "").isEmpty() ? null : address(top, "admin_addr");
-        String temporary = environment.getOrDefault("TMPDIR", "");
-        stateFolder = temporary.isEmpty() ? null : Path.of(temporary);
-        passedSocket = passed(environment.getOrDefault("NODE_PASSED_SOCKET", ""));
+        String temporaryFolder = environment.getOrDefault("TMPDIR", "");
+        stateFolder = temporaryFolder.isEmpty() ? null : Path.of(temporaryFolder);
+        passedSocket = isSocketPassed(environment.getOrDefault("NODE_PASSED_SOCKET", ""));
         seed = seed(top);
         maxSockets = (int) number(top, "limits.sockets", DEFAULT_SOCKETS);
         memoryBytes = (long) number(top, "limits.memory_mb", DEFAULT_MEMORY_MB) << 20;
         if (connectionBudget() <= 0) {
             throw new ConfigException(
                     "limits.sockets",
-                    maxSockets + " is too few, the node itself needs " + (maxSockets - connectionBudget()));
+                    maxSockets + " descriptors are too few; the node itself needs "
+                            + (maxSockets - connectionBudget()));
         }
         SettingsParser parser = new SettingsParser(values);
-        Settings told;
+        Settings parsedSettings;
         try {
-            told = parser.settings();
+            parsedSettings = parser.settings();
         } catch (IllegalArgumentException e) {
             throw new ConfigException("settings", e.getMessage());
         }
-        peers = told.loadSources().peers() ? peers(top, values) : null;
-        settings = peers == null ? told.withoutPeers() : told;
+        peers = parsedSettings.loadSources().peers() ? peers(top, values) : null;
+        settings = peers == null ? parsedSettings.withoutPeers() : parsedSettings;
         tenantNames = new ArrayList<>();
         for (int t = 0; t < settings.tenants().size(); t++) {
             String path = "tenants." + t + ".name";
@@ -157,7 +157,7 @@
                 : ContractLoader.read("GORSERILL_OPENAPI", Path.of(openApi), Contract.Kind.OPENAPI, jobRules());
     }
 
-    /** Reads the file that {@code NODE_CONFIG} names; the other variables go before what it says. */
+    /** Reads the file that {@code NODE_CONFIG} names; other environment variables override its values. */
     static NodeConfig read(Map<String, String> environment) throws ConfigException {
         String file = environment.get("NODE_CONFIG");
         if (file == null) {
@@ -180,9 +180,9 @@
                 } else if (key.equals("known") && value != JsonToken.VALUE_NULL) {
                     cachedListing = WorkerListing.read(json);
                 } else {
-                    String at = key;
+                    String prefix = key;
                     JsonFlattener.flatten(json)
-                            .forEach((path, text) -> top.put(path.isEmpty() ? at : at + "." + path, text));
+                            .forEach((path, text) -> top.put(path.isEmpty() ? prefix : prefix + "." + path, text));
                 }
             }
         } catch (IOException e) {
@@ -204,81 +204,87 @@
     }
 
     /**
-     * Reads the file again for a running node. Danger: discovery's address is now the file's: a variable
-     * set at the start would undo every reload.
+     * Reads the file again for a running node. The variable for discovery's address is ignored here; it would override
+     * the file on every reload.
      */
     static NodeConfig readForReload(Map<String, String> environment) throws ConfigException {
-        Map<String, String> without = new HashMap<>(environment);
-        without.remove("NODE_DISCOVERY");
-        return read(without);
+        Map<String, String> variables = new HashMap<>(environment);
+        variables.remove("NODE_DISCOVERY");
+        return read(variables);
     }
 
-    /** The keys under which a later configuration differs in what holds for a node's whole life. */
-    List<String> fixedKeysChangedIn(NodeConfig later) {
+    /** The changed keys of a newer configuration that take effect only after a restart. */
+    List<String> fixedKeysChangedIn(NodeConfig newer) {
         Map<String, Boolean> changed = new LinkedHashMap<>();
-        changed.put("name", !name.equals(later.name));
-        changed.put("listen", !listen.equals(later.listen));
-        changed.put("admin_addr", !Objects.equals(admin, later.admin));
-        changed.put("limits.sockets", maxSockets != later.maxSockets);
-        changed.put("limits.memory_mb", memoryBytes != later.memoryBytes);
-        changed.put("settings", !values.equals(later.values));
-        changed.put("faktory: enabled", (faktory == null) != (later.faktory == null));
+        changed.put("name", !name.equals(newer.name));
+        changed.put("listen", !listen.equals(newer.listen));
+        changed.put("admin_addr", !Objects.equals(admin, newer.admin));
+        changed.put("limits.sockets", maxSockets != newer.maxSockets);
+        changed.put("limits.memory_mb", memoryBytes != newer.memoryBytes);
+        changed.put("settings", !values.equals(newer.values));
+        changed.put("faktory: enabled", (faktory == null) != (newer.faktory == null));
         changed.put(
                 "cluster",
                 !Objects.equals(
                         cluster,
-                        cluster == null || later.cluster == null
-                                ? later.cluster
-                                : later.cluster.withMembersOf(cluster)));
+                        cluster == null || newer.cluster == null
+                                ? newer.cluster
+                                : newer.cluster.withMembersOf(cluster)));
         changed.put(
                 "faktory: listen",
-                faktory != null && later.faktory != null && !faktory.listen().equals(later.faktory.listen()));
-        changed.values().removeIf(is -> !is);
+                faktory != null && newer.faktory != null && !faktory.listen().equals(newer.faktory.listen()));
+        changed.values().removeIf(isChanged -> !isChanged);
         return List.copyOf(changed.keySet());
     }
 
-    /** Whether the jobs' classes are the same, so that what one binds to a class the other may use. */
+    /** Whether the job classes are the same, so that contracts bound to one configuration's classes fit the other's. */
     boolean sameClasses(NodeConfig other) {
         return jobClassInfo().equals(other.jobClassInfo());
     }
 
-    /** The classes of a configuration file, for contracts to be held against without a node. */
+    /** Reads the job classes of a configuration file, to check contracts without a node. */
     public static Map<String, JobRule> jobRules(Path file) throws ConfigException {
         return read(Map.of("NODE_CONFIG", file.toString(), "GORSERILL_FAKTORY", ""))
                 .jobRules();
     }
 
-    /** What contracts must keep to, by the classes' names. */
+    /** The rules that contracts are checked against, by class name. */
     Map<String, JobRule> jobRules() {
         Map<String, JobRule> rules = new LinkedHashMap<>();
         for (int c = 0; c < classNames.size(); c++) {
-            JobClass of = settings.classes().get(c);
-            rules.put(classNames.get(c), new JobRule(classNames.get(c), c, of.effect(), of.deadline()));
+            JobClass jobClass = settings.classes().get(c);
+            rules.put(classNames.get(c), new JobRule(classNames.get(c), c, jobClass.effect(), jobClass.deadline()));
         }
         return rules;
     }
 
-    /** What the fronts need to know of the classes, by name. */
+    /** The properties of the classes that front ends need, by class name. */
     Map<String, JobClassInfo> jobClassInfo() {
         Map<String, JobClassInfo> terms = new LinkedHashMap<>();
         for (int c = 0; c < classNames.size(); c++) {
-            JobClass of = settings.classes().get(c);
+            JobClass jobClass = settings.classes().get(c);
             terms.put(
                     classNames.get(c),
-                    new JobClassInfo(c, of.deadline(), of.effect() == Effect.KEYED, of.effect() == Effect.UNSAFE));
+                    new JobClassInfo(
+                            c,
+                            jobClass.deadline(),
+                            jobClass.effect() == Effect.KEYED,
+                            jobClass.effect() == Effect.UNSAFE));
         }
         return terms;
     }
 
     /**
-     * How old the node's knowledge may be as it writes a job's first byte, microseconds: the grace, less what the
-     * machine may hold the process up between the check and the write.
+     * Maximum age of the node's state when it writes the first byte of a job: the drain grace, less the longest pause
+     * of the process between the check and the write.
      */
     long maxInputAgeMicros() {
-        return Math.max(LEAST_FACT_AGE, Math.min(Transport.DEFAULT_MAX_INPUT_AGE_MICROS, drainGraceMicros - HOLD_UP));
+        return Math.max(
+                MIN_INPUT_AGE_MICROS,
+                Math.min(Transport.DEFAULT_MAX_INPUT_AGE_MICROS, drainGraceMicros - MAX_PROCESS_PAUSE_MICROS));
     }
 
-    /** How long workers know a key at the most, microseconds. */
+    /** The longest deduplication window of the keyed classes; 0 if there are none. */
     long maxDedupWindowMicros() {
         return settings.classes().stream()
                 .filter(c -> c.effect() == Effect.KEYED)
@@ -287,34 +293,34 @@
                 .orElse(0);
     }
 
-    /** Most connections of all kinds together. */
+    /** Maximum number of connections of all kinds together. */
     int connectionBudget() {
         return maxSockets - ownDescriptors();
     }
 
-    /** Descriptors that each process needs besides its connections. */
+    /** Descriptors that a process needs besides its connections. */
     int ownDescriptors() {
         return OWN_DESCRIPTORS + (admin == null ? 0 : ADMIN_CONNECTIONS);
     }
 
-    /** The start of the names of a node's files: any name of a node makes a name of a file. */
+    /** Prefix of a node's file names; a hash, so that any node name gives a valid file name. */
     static String fileKey(String node) {
         return "gorserill-" + Integer.toHexString(node.hashCode());
     }
 
-    /** Bytes for what clients send: a sixteenth of the memory allowed, no more than a quarter of the heap. */
+    /** Memory for request bodies: a sixteenth of the configured memory, at most a quarter of the heap. */
     long bodyBudgetBytes() {
         return Math.min(memoryBytes / 16, Runtime.getRuntime().maxMemory() / 4);
     }
 
-    /** How long a connection to a worker may stand idle: well below the worker's own limit. */
+    /** Idle timeout of connections to workers, well below the worker's own limit. */
     long workerIdleTimeoutMicros() {
         return connectionIdleMicros * 6 / 10;
     }
 
     private String reportName(SettingsParser parser, String meaning) {
-        int place = parser.reportIndex(meaning);
-        return place < 0 ? null : values.get("report.names").split(",")[place];
+        int index = parser.reportIndex(meaning);
+        return index < 0 ? null : values.get("report.names").split(",")[index];
     }
 
     private static long seed(Map<String, String> top) throws ConfigException {
@@ -322,37 +328,37 @@
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new ConfigException("seed", "'" + text + "' is no hexadecimal number of 64 bits");
+            throw new ConfigException("seed", "'" + text + "' is not a 64-bit hexadecimal number");
         }
     }
 
-    private static double number(Map<String, String> values, String key, double otherwise) throws ConfigException {
-        double number = number(values, key, otherwise, 0);
+    private static double number(Map<String, String> values, String key, double defaultValue) throws ConfigException {
+        double number = number(values, key, defaultValue, 0);
         if (number == 0) {
-            throw new ConfigException(key, "'" + values.get(key) + "' is no number above 0");
+            throw new ConfigException(key, "'" + values.get(key) + "' is not a number above 0");
         }
         return number;
     }
 
-    private static double number(Map<String, String> values, String key, double otherwise, double least)
+    private static double number(Map<String, String> values, String key, double defaultValue, double minimum)
             throws ConfigException {
         String text = values.get(key);
         try {
-            double number = text == null ? otherwise : Double.parseDouble(text);
-            if (number >= least) {
+            double number = text == null ? defaultValue : Double.parseDouble(text);
+            if (number >= minimum) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Told below, like a number that can't be.
+            // Reported below, like a number that is out of range.
         }
-        throw new ConfigException(key, "'" + text + "' is no number above 0");
+        throw new ConfigException(key, "'" + text + "' is not a number above 0");
     }
 
     private static List<String> names(String list) {
         return List.of((list == null ? "" : list).split(","));
     }
 
-    /** Null where the platform names no addresses, though it would allow messages. */
+    /** Null if the deployment allows messages between nodes but names no addresses. */
     private static PeerPort.Addresses peers(Map<String, String> top, Map<String, String> values)
             throws ConfigException {
         if (!top.containsKey("peer_listen") || !top.containsKey("peers_all")) {
@@ -369,10 +375,11 @@
                 values.containsKey("me") ? (int) number(values, "me", -1, 0) : -1);
     }
 
-    /** The JVM can take over descriptor 0 and no other. */
-    private static boolean passed(String text) throws ConfigException {
+    /** The JVM can inherit only descriptor 0. */
+    private static boolean isSocketPassed(String text) throws ConfigException {
         if (text.matches("\\d+") && !text.equals("0")) {
-            throw new ConfigException("NODE_PASSED_SOCKET", "'" + text + "' is a descriptor other than 0");
+            throw new ConfigException(
+                    "NODE_PASSED_SOCKET", "'" + text + "' is not descriptor 0, the only one that can be inherited");
         }
         return !text.isEmpty();
     }
@@ -388,12 +395,12 @@
     static InetSocketAddress address(String text, String key) throws ConfigException {
         InetSocketAddress address = addressOrNull(text);
         if (address == null) {
-            throw new ConfigException(key, "'" + text + "' is no address with a port");
+            throw new ConfigException(key, "'" + text + "' is not an address with a port");
         }
         return address;
     }
 
-    /** An address such as 10.0.0.4:3000, or null. */
+    /** Parses an address such as 10.0.0.4:3000; null if it is malformed or can't be resolved. */
     static InetSocketAddress addressOrNull(String text) {
         int colon = text.lastIndexOf(':');
         try {
--- a/src/main/java/gorserill/program/NodeMetrics.java
+++ b/src/main/java/gorserill/program/NodeMetrics.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What the node reports of itself, in the text format that the operators' collector reads. */
+/** The node's metrics, in the text format that the operators' collector reads. */
 final class NodeMetrics {
-    private static final String END = "eof\n";
+    private static final String END_MARKER = "eof\n";
     private static final int MICROS_PER_MILLI = 1_000;
 
     private final List<String> classNames;
@@ -21,9 +21,9 @@
     private final Loop loop;
     private final WatchStatistics watch;
     private long reloads;
-    private long faultyReloads;
+    private long failedReloads;
 
-    /** @param faktory null where that front is off */
+    /** @param faktory null where the Faktory front end is disabled */
     NodeMetrics(
             List<String> classNames,
             Core core,
@@ -39,60 +39,61 @@
         this.faktory = faktory;
     }
 
-    void recordReload(boolean sound) {
-        if (sound) {
+    /** Counts a reload of the configuration. */
+    void recordReload(boolean success) {
+        if (success) {
             reloads++;
         } else {
-            faultyReloads++;
+            failedReloads++;
         }
     }
 
-    /** All figures as they are now, and a line that ends them. */
+    /** The current metrics, followed by an end marker line. */
     String text() {
         StringBuilder text = new StringBuilder(1024);
-        JobStatistics tally = core.statistics();
+        JobStatistics statistics = core.statistics();
         for (int c = 0; c < classNames.size(); c++) {
-            calls(text, c, "success", tally.served(c));
-            calls(text, c, "busy", tally.refused(c));
-            calls(text, c, "failure", tally.failed(c));
+            appendCalls(text, c, "success", statistics.served(c));
+            appendCalls(text, c, "busy", statistics.refused(c));
+            appendCalls(text, c, "failure", statistics.failed(c));
         }
-        line(text, "backend_calls_total", tally.attempts());
-        line(text, "inflight", core.openRequests());
-        line(text, "hosts_listed", workers.listedCount() + (faktory == null ? 0 : faktory.workers()));
-        line(text, "hosts_down", workers.avoidedCount() + (faktory == null ? 0 : faktory.avoided()));
-        line(text, "reconfig_ok_total", reloads);
-        line(text, "reconfig_failed_total", faultyReloads);
-        return text.append(END).toString();
+        append(text, "backend_calls_total", statistics.attempts());
+        append(text, "inflight", core.openRequests());
+        append(text, "hosts_listed", workers.listedCount() + (faktory == null ? 0 : faktory.workers()));
+        append(text, "hosts_down", workers.avoidedCount() + (faktory == null ? 0 : faktory.avoided()));
+        append(text, "reconfig_ok_total", reloads);
+        append(text, "reconfig_failed_total", failedReloads);
+        return text.append(END_MARKER).toString();
     }
 
-    /** What an incident is traced by, beside the platform's figures; the form is the same. */
+    /** Further metrics for tracing incidents, in the same format. */
     String diagnostics() {
         StringBuilder text = new StringBuilder(1024);
         for (HoldReason reason : HoldReason.values()) {
             String name = reason.name().toLowerCase(Locale.ROOT);
-            line(
+            append(
                     text,
                     "held_back_total{reason=\"" + name + "\"}",
                     core.statistics().heldBack(reason));
         }
-        line(text, "discovery_calls_total", watch.calls());
-        line(text, "discovery_answers_total", watch.answered());
-        line(text, "discovery_turned_away_total", watch.turnedAway());
-        line(text, "discovery_failed_total", watch.failed());
-        line(text, "discovery_silent_total", watch.silent());
-        line(text, "discovery_superseded_total", watch.superseded());
-        line(text, "discovery_late_answers_total", watch.lateAnswers());
-        line(text, "list_version", workers.version());
-        line(text, "pauses_total", loop.pauses());
-        line(text, "longest_pause_ms", loop.longestPauseMicros() / MICROS_PER_MILLI);
-        return text.append(END).toString();
+        append(text, "discovery_calls_total", watch.calls());
+        append(text, "discovery_answers_total", watch.answered());
+        append(text, "discovery_turned_away_total", watch.turnedAway());
+        append(text, "discovery_failed_total", watch.failed());
+        append(text, "discovery_silent_total", watch.silent());
+        append(text, "discovery_superseded_total", watch.superseded());
+        append(text, "discovery_late_answers_total", watch.lateAnswers());
+        append(text, "list_version", workers.version());
+        append(text, "pauses_total", loop.pauses());
+        append(text, "longest_pause_ms", loop.longestPauseMicros() / MICROS_PER_MILLI);
+        return text.append(END_MARKER).toString();
     }
 
-    private void calls(StringBuilder text, int jobClass, String code, long count) {
-        line(text, "calls_total{tier=\"" + classNames.get(jobClass) + "\",code=\"" + code + "\"}", count);
+    private void appendCalls(StringBuilder text, int jobClass, String code, long count) {
+        append(text, "calls_total{tier=\"" + classNames.get(jobClass) + "\",code=\"" + code + "\"}", count);
     }
 
-    private static void line(StringBuilder text, String name, long value) {
+    private static void append(StringBuilder text, String name, long value) {
         text.append("app_").append(name).append(' ').append(value).append('\n');
     }
 }
--- a/src/main/java/gorserill/program/OperatorCalls.java
+++ b/src/main/java/gorserill/program/OperatorCalls.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** What operators can ask of the node, by the names of the calls. */
+/** The operators' calls, by name. */
 final class OperatorCalls {
     private final Lifecycle lifecycle;
     private final Maintenance maintenance;
@@ -17,10 +17,9 @@
     private final ClusterPart cluster;
 
     /**
-     * @param contracts tells of the contracts' versions, a line each
-     * @param reload reads the configuration again and tells, on the loop's thread, what is wrong with it, or
-     *     null
-     * @param cluster null where this node is no member of one
+     * @param contracts returns the contracts' versions, one line each
+     * @param reload reads the configuration again and reports the error, or null, on the loop's thread
+     * @param cluster null where this node is not a member of a cluster
      */
     OperatorCalls(
             Lifecycle lifecycle,
@@ -39,26 +38,26 @@
 
     Map<String, Call> byName() {
         return Map.of(
-                "contract", about -> contracts.get(),
+                "contract", argument -> contracts.get(),
                 "reload",
-                        new AdminFrontend.DeferredCall((about, to) ->
-                                reload.accept(fault -> to.accept(AdminFrontend.reply(fault == null, fault)))),
+                        new AdminFrontend.DeferredCall((argument, reply) ->
+                                reload.accept(error -> reply.accept(AdminFrontend.reply(error == null, error)))),
                 "cluster",
-                        new AdminFrontend.DeferredCall((about, to) -> {
+                        new AdminFrontend.DeferredCall((argument, reply) -> {
                             if (cluster == null) {
-                                to.accept(AdminFrontend.reply(false, "this node is no member of a cluster"));
+                                reply.accept(AdminFrontend.reply(false, "this node is no member of a cluster"));
                             } else {
-                                cluster.call(about, to);
+                                cluster.call(argument, reply);
                             }
                         }),
-                "readyz", about -> AdminFrontend.reply(lifecycle.canServe(), "it does not serve yet, or no more"),
-                "telemetry", about -> metrics.text(),
-                "diagnostics", about -> metrics.diagnostics(),
+                "readyz", argument -> AdminFrontend.reply(lifecycle.canServe(), "it does not serve yet, or no more"),
+                "telemetry", argument -> metrics.text(),
+                "diagnostics", argument -> metrics.diagnostics(),
                 "exclude", worker -> maintain(worker, true),
                 "include", worker -> maintain(worker, false),
-                "evacuate", new AdminFrontend.DeferredCall((about, to) -> evacuate(to)),
+                "evacuate", new AdminFrontend.DeferredCall((argument, reply) -> evacuate(reply)),
                 "activate",
-                        about -> done(() -> {
+                        argument -> done(() -> {
                             lifecycle.activate();
                             if (cluster != null) {
                                 cluster.backInService();
@@ -66,27 +65,27 @@
                         }));
     }
 
-    /** Where so many nodes may be out of service and no more, the others are asked first. */
-    private void evacuate(Consumer<String> to) {
+    /** In a cluster, the node first requests permission, since only a limited number of nodes may be out of service. */
+    private void evacuate(Consumer<String> reply) {
         if (cluster == null) {
-            to.accept(done(lifecycle::evacuate));
+            reply.accept(done(lifecycle::evacuate));
             return;
         }
-        cluster.permit(whyNot -> {
-            if (whyNot == null) {
+        cluster.permit(refusal -> {
+            if (refusal == null) {
                 lifecycle.evacuate();
             }
-            to.accept(AdminFrontend.reply(whyNot == null, whyNot));
+            reply.accept(AdminFrontend.reply(refusal == null, refusal));
         });
     }
 
-    private String maintain(String worker, boolean out) {
-        String whyNot = maintenance.setBanned(worker, out);
-        return AdminFrontend.reply(whyNot == null, whyNot);
+    private String maintain(String worker, boolean banned) {
+        String refusal = maintenance.setBanned(worker, banned);
+        return AdminFrontend.reply(refusal == null, refusal);
     }
 
-    private static String done(Runnable what) {
-        what.run();
+    private static String done(Runnable action) {
+        action.run();
         return AdminFrontend.reply(true, null);
     }
 }
--- a/src/main/java/gorserill/program/Rehearsal.java
+++ b/src/main/java/gorserill/program/Rehearsal.java
@@ -11,24 +11,24 @@
 import java.util.Map;
 
 /**
- * A short life of a node on a port of its own, with a list that names nobody who listens: a client asks, is
- * refused, and the node ends. The build runs it to have the JVM archive the classes that a start needs, since
- * a node that starts takes no jobs.
+ * Runs a node briefly on its own ports with a list of unreachable workers: a client's request is refused and the node
+ * stops. The build uses it to let the JVM archive the classes that a start needs; a normal start handles no request
+ * that would load them.
  */
 final class Rehearsal {
-    private static final String ASKED = "POST /job HTTP/1.1\r\nHost: a\r\nX-Txn: rehearsal\r\nX-Lane: job\r\n"
+    private static final String REQUEST = "POST /job HTTP/1.1\r\nHost: a\r\nX-Txn: rehearsal\r\nX-Lane: job\r\n"
             + "X-Remaining-Ms: 1000\r\nX-Labels: slots=1\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi";
 
     private Rehearsal() {}
 
-    private static String ask(int port, String what) throws IOException {
+    private static String exchange(int port, String request) throws IOException {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            client.getOutputStream().write(what.getBytes(StandardCharsets.US_ASCII));
+            client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             return new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
 
-    /** Gives the first line of the answer. */
+    /** Returns the status line of the response. */
     static String run() throws IOException, ConfigException, InterruptedException {
         try (ReservedPort clients = ReservedPort.reserve();
                 ReservedPort operators = ReservedPort.reserve()) {
@@ -36,29 +36,30 @@
         }
     }
 
-    private static String run(int port, int operators) throws IOException, ConfigException, InterruptedException {
-        Path file = Files.createTempFile("rehearsal", ".json");
-        try (InputStream text = Rehearsal.class.getResourceAsStream("rehearsal.json")) {
+    private static String run(int clientPort, int adminPort) throws IOException, ConfigException, InterruptedException {
+        Path configFile = Files.createTempFile("rehearsal", ".json");
+        try (InputStream template = Rehearsal.class.getResourceAsStream("rehearsal.json")) {
             Files.writeString(
-                    file,
-                    new String(text.readAllBytes(), StandardCharsets.UTF_8)
-                            .replace("PORT", Integer.toString(port))
-                            .replace("ADMIN", Integer.toString(operators)));
-            Map<String, String> environment = Map.of("NODE_CONFIG", file.toString());
+                    configFile,
+                    new String(template.readAllBytes(), StandardCharsets.UTF_8)
+                            .replace("PORT", Integer.toString(clientPort))
+                            .replace("ADMIN", Integer.toString(adminPort)));
+            Map<String, String> environment = Map.of("NODE_CONFIG", configFile.toString());
             NodeConfig config = NodeConfig.read(environment);
             WarmUp.run(config.settings);
             Node node = new Node(config, environment);
             node.start();
             try {
-                // Danger: the second address opens a moment after the start; a build must not depend on it.
+                // The operators' address opens shortly after the start; waiting keeps the build independent of that
+                // timing.
                 node.awaitReady();
-                ask(operators, "telemetry\n");
-                return ask(port, ASKED).lines().findFirst().orElse("nothing");
+                exchange(adminPort, "telemetry\n");
+                return exchange(clientPort, REQUEST).lines().findFirst().orElse("nothing");
             } finally {
                 node.stop();
             }
         } finally {
-            Files.delete(file);
+            Files.delete(configFile);
         }
     }
 }
--- a/src/main/java/gorserill/program/WarmUp.java
+++ b/src/main/java/gorserill/program/WarmUp.java
@@ -22,29 +22,29 @@
 import java.util.logging.Logger;
 
 /**
- * Sends make-believe requests through codecs, core and module before the node says that it is ready. Danger:
- * the first clients of a restarted node would pay for loading and interpreting every class on their way.
+ * Sends synthetic requests through codecs, core and dispatcher before the node reports ready. Otherwise the first
+ * requests after a restart would wait for class loading and run in the interpreter.
  */
 final class WarmUp {
-    private static final int ROUNDS = 300;
-    private static final int WORKERS = 12;
-    private static final long ROUND_NANOS = 20_000_000;
+    private static final int REQUESTS = 300;
+    private static final int WORKER_COUNT = 12;
+    private static final long REQUEST_INTERVAL_NANOS = 20_000_000;
     private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
 
     private WarmUp() {}
 
-    /** Gives how many of the make-believe requests were answered. */
+    /** Runs the warm-up and returns the number of synthetic requests that were answered. */
     static int run(Settings settings) {
-        HttpCodecWarmUp.run(ROUNDS);
-        // A clock of its own, so that the module's periods pass without waiting for them.
+        HttpCodecWarmUp.run(REQUESTS);
+        // A simulated clock lets the dispatcher's periods pass without waiting.
         long[] nanos = new long[1];
         Loop loop = new Loop(e -> LOG.log(Level.WARNING, "the warm-up failed; the node goes on", e), () -> nanos[0]);
         Core core = new Core(loop, settings, 1, () -> {});
-        Deque<Attempt> sent = new ArrayDeque<>();
+        Deque<Attempt> startedAttempts = new ArrayDeque<>();
         WorkerPort port = new WorkerPort() {
             @Override
             public void start(Attempt attempt, JobSpec work, long expires) {
-                sent.add(attempt);
+                startedAttempts.add(attempt);
             }
 
             @Override
@@ -53,7 +53,7 @@
             }
         };
         Map<Long, WorkerPort> ports = new HashMap<>();
-        for (long id = 1; id <= WORKERS; id++) {
+        for (long id = 1; id <= WORKER_COUNT; id++) {
             ports.put(id, port);
         }
         core.updateWorkers(
@@ -63,14 +63,14 @@
                         .toList(),
                 ports);
         Counter counter = new Counter();
-        for (int i = 0; i < ROUNDS; i++) {
+        for (int i = 0; i < REQUESTS; i++) {
             core.submit(
                     counter,
                     new JobSpec("w", i % settings.classes().size(), "/", "k", null, new byte[0]),
                     new RequestOptions(loop.now(), 1_000_000, false, 0, 0, 1, 0));
-            nanos[0] += ROUND_NANOS;
+            nanos[0] += REQUEST_INTERVAL_NANOS;
             loop.runDue();
-            for (Attempt attempt = sent.poll(); attempt != null; attempt = sent.poll()) {
+            for (Attempt attempt = startedAttempts.poll(); attempt != null; attempt = startedAttempts.poll()) {
                 attempt.started();
                 attempt.ended(Outcome.SERVED, new byte[0], Load.NONE);
             }
--- a/src/main/java/gorserill/program/WorkerDirectory.java
+++ b/src/main/java/gorserill/program/WorkerDirectory.java
@@ -22,54 +22,55 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Turns discovery's listings into workers of the core's. */
+/** Keeps the workers listed by discovery: assigns their ids, opens their connection pools and updates the core. */
 final class WorkerDirectory {
     private static final Logger LOG = Logger.getLogger(WorkerDirectory.class.getName());
-    private static final int UNKNOWN = 255;
-    /** Workers that leave are named in a listing's line up to so many. */
-    private static final int MOST_NAMES = 6;
+    private static final int UNKNOWN_INDEX = 255;
+    /** Most names of departing workers written to the log line of one listing. */
+    private static final int MAX_LOGGED_NAMES = 6;
 
     private final Loop loop;
-    private final HttpWorker.Config terms;
+    private final HttpWorker.Config workerConfig;
     private final List<String> zones;
-    private final List<String> kinds;
-    /** Names of workers that are gone, kept beside as many as are listed; they may come back. */
-    private static final int GONE_KEPT = 64;
+    private final List<String> workerTypes;
+    /** Names of removed workers kept in addition to the number of listed ones, since removed workers may return. */
+    private static final int MIN_GONE_KEPT = 64;
 
-    /** A worker keeps its number and its pool while it is listed, and for as long as it is kept after. */
-    private final Map<String, Long> numbers = new HashMap<>();
-    /** In the order in which they went. */
-    private final Set<String> gone = new LinkedHashSet<>();
+    /** Worker ids by name. A worker keeps its id and its pool while it is listed or kept as removed. */
+    private final Map<String, Long> idsByName = new HashMap<>();
+    /** Names of removed workers, oldest removal first. */
+    private final Set<String> goneNames = new LinkedHashSet<>();
 
-    private long lastNumber;
-    /** Of the list that was told last; -1 for none. */
+    private long lastId;
+    /** Version of the latest list; -1 before the first. */
     private long version = -1;
 
     private final Map<Long, HttpWorker> workers = new HashMap<>();
-    /** What discovery says at present of the workers that are not gone. */
+    /** The latest discovery entries of the workers that are not removed. */
     private final Map<String, WorkerListing.Entry> listed = new HashMap<>();
-    /** Handed over, and not yet listed. */
-    private final Map<String, Handover.WorkerFigures> recalled = new HashMap<>();
+    /** Figures handed over by another process for workers not listed so far. */
+    private final Map<String, Handover.WorkerFigures> unclaimedFigures = new HashMap<>();
 
     private final Core core;
-    private final Predicate<String> banned;
+    private final Predicate<String> isBanned;
 
-    /** @param banned whom operators have taken out: it counts as draining, whatever discovery says */
+    /** @param isBanned whether operators have excluded a worker; it then counts as draining, whatever discovery says */
     WorkerDirectory(
             Loop loop,
             Core core,
-            HttpWorker.Config terms,
+            HttpWorker.Config workerConfig,
             List<String> zones,
-            List<String> kinds,
-            Predicate<String> banned) {
+            List<String> workerTypes,
+            Predicate<String> isBanned) {
         this.loop = loop;
         this.core = core;
-        this.terms = terms;
+        this.workerConfig = workerConfig;
         this.zones = zones;
-        this.kinds = kinds;
-        this.banned = banned;
+        this.workerTypes = workerTypes;
+        this.isBanned = isBanned;
     }
 
+    /** Applies a listing: updates the core's workers and forgets the oldest removed ones. */
     void update(ListKind kind, WorkerListing listing) {
         if (kind == ListKind.WHOLE) {
             dropUnlisted(listing);
@@ -78,7 +79,7 @@
         List<String> leaving = new ArrayList<>();
         List<Worker> entries = new ArrayList<>();
         Map<Long, HttpWorker> ports = new HashMap<>();
-        int young = 0;
+        int started = 0;
         int terminating = 0;
         int terminated = 0;
         for (WorkerListing.Entry entry : listing.entries()) {
@@ -90,11 +91,11 @@
                 continue;
             }
             if (kind == ListKind.CHANGES && entry.equals(listed.get(entry.name()))) {
-                // Danger: where lists carry live weights each call names most workers, and nothing is new.
+                // Lists with live weights name most workers on every call, usually without any change.
                 continue;
             }
-            long id = numbers.computeIfAbsent(entry.name(), n -> ++lastNumber);
-            HttpWorker worker = workers.computeIfAbsent(id, i -> new HttpWorker(terms, entry.name(), address));
+            long id = idsByName.computeIfAbsent(entry.name(), n -> ++lastId);
+            HttpWorker worker = workers.computeIfAbsent(id, i -> new HttpWorker(workerConfig, entry.name(), address));
             worker.moveTo(address);
             WorkerState state = state(entry);
             if (state != WorkerState.READY) {
@@ -106,16 +107,16 @@
                     && entry.since() > 0
                     && (before == null || before.since() != entry.since())) {
                 LOG.log(Level.FINE, "worker {0} started at {1}", new Object[] {entry.name(), entry.since()});
-                young++;
+                started++;
             }
             terminating += state == WorkerState.DRAINING ? 1 : 0;
             terminated += state == WorkerState.GONE ? 1 : 0;
             if (state == WorkerState.GONE) {
                 listed.remove(entry.name());
-                gone.add(entry.name());
+                goneNames.add(entry.name());
             } else {
                 listed.put(entry.name(), entry);
-                gone.remove(entry.name());
+                goneNames.remove(entry.name());
             }
             ports.put(id, worker);
             entries.add(worker(id, entry));
@@ -124,7 +125,7 @@
             return;
         }
         core.updateWorkers(kind, entries, ports);
-        forget();
+        evictGone();
         restoreLearned();
         if (!entries.isEmpty()) {
             LOG.log(
@@ -135,7 +136,7 @@
                         listed.size(),
                         entries.size(),
                         kind == ListKind.CHANGES ? "changes" : "all",
-                        young,
+                        started,
                         terminating,
                         terminated,
                         names(leaving)
@@ -143,56 +144,56 @@
         }
     }
 
-    /** For the log: a few names, so that a line stays a line in a fleet of any size. */
+    /** Formats the first few names for the log, so that the line stays short with many workers. */
     private static String names(List<String> leaving) {
         if (leaving.isEmpty()) {
             return "";
         }
-        String some = String.join(" ", leaving.subList(0, Math.min(MOST_NAMES, leaving.size())));
-        return " (" + some + (leaving.size() > MOST_NAMES ? " and others)" : ")");
+        String firstNames = String.join(" ", leaving.subList(0, Math.min(MAX_LOGGED_NAMES, leaving.size())));
+        return " (" + firstNames + (leaving.size() > MAX_LOGGED_NAMES ? " and others)" : ")");
     }
 
-    /** The version of the list that was told last; -1 for none. */
+    /** The version of the latest list; -1 before the first. */
     long version() {
         return version;
     }
 
     /**
-     * Danger: fleets whose workers get new names at each release would fill the memory with old ones. Who
-     * went first is forgotten first, but not before its last job has ended; numbers are never used again.
+     * Evicts the oldest removed workers. Deployments that name workers anew at each release would otherwise fill
+     * the memory with old names. A worker is evicted only after its last job has ended; ids are never reused.
      */
-    private void forget() {
-        int most = GONE_KEPT + listed.size();
-        for (Iterator<String> it = gone.iterator(); gone.size() > most && it.hasNext(); ) {
+    private void evictGone() {
+        int maxGone = MIN_GONE_KEPT + listed.size();
+        for (Iterator<String> it = goneNames.iterator(); goneNames.size() > maxGone && it.hasNext(); ) {
             String name = it.next();
-            if (core.tryForget(numbers.get(name))) {
+            if (core.tryForget(idsByName.get(name))) {
                 it.remove();
-                workers.remove(numbers.remove(name)).closeIdle();
+                workers.remove(idsByName.remove(name)).closeIdle();
             }
         }
     }
 
-    /** What is listed at present, with the core's numbers. */
+    /** Visits the listed workers with their ids in the core. */
     void forEachListed(BiConsumer<Long, WorkerListing.Entry> visitor) {
-        listed.forEach((name, entry) -> visitor.accept(numbers.get(name), entry));
+        listed.forEach((name, entry) -> visitor.accept(idsByName.get(name), entry));
     }
 
-    /** Begins with what another process has learned of workers, as far as they are listed and the same. */
+    /** Restores another process's figures for workers that are listed, or will be, with the same start time. */
     void restoreLearned(Map<String, Handover.WorkerFigures> figures) {
-        recalled.putAll(figures);
+        unclaimedFigures.putAll(figures);
         restoreLearned();
     }
 
     private void restoreLearned() {
-        Map<Long, List<Double>> known = new HashMap<>();
+        Map<Long, List<Double>> learnedById = new HashMap<>();
         forEachListed((id, entry) -> {
-            Handover.WorkerFigures its = recalled.remove(entry.name());
-            if (its != null && its.since() == entry.since()) {
-                known.put(id, its.learned());
+            Handover.WorkerFigures figures = unclaimedFigures.remove(entry.name());
+            if (figures != null && figures.since() == entry.since()) {
+                learnedById.put(id, figures.learned());
             }
         });
-        if (!known.isEmpty()) {
-            core.restoreLearned(new LearnedState(List.of(), known));
+        if (!learnedById.isEmpty()) {
+            core.restoreLearned(new LearnedState(List.of(), learnedById));
         }
     }
 
@@ -200,7 +201,7 @@
         return switch (entry.status()) {
             case "in_service" -> WorkerState.READY;
             case "terminated" -> WorkerState.GONE;
-            // An unknown state is treated as the careful one.
+            // An unknown status is treated as draining, the safe choice: the worker gets no new jobs.
             default -> WorkerState.DRAINING;
         };
     }
@@ -209,16 +210,16 @@
         WorkerState state = state(entry);
         return new Worker(
                 id,
-                place(kinds, entry.type()),
-                place(zones, entry.zone()),
+                indexOrUnknown(workerTypes, entry.type()),
+                indexOrUnknown(zones, entry.zone()),
                 entry.group(),
-                state == WorkerState.READY && banned.test(entry.name()) ? WorkerState.DRAINING : state,
+                state == WorkerState.READY && isBanned.test(entry.name()) ? WorkerState.DRAINING : state,
                 loop.fromUnixMillis(entry.since()),
-                name(entry.name()));
+                nameHash(entry.name()));
     }
 
-    /** A number that every node makes of the same name (FNV-1a, 64 bits). */
-    private static long name(String text) {
+    /** Hash of a name, identical on every node (64-bit FNV-1a). */
+    private static long nameHash(String text) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
             hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
@@ -226,48 +227,48 @@
         return hash;
     }
 
-    /** How many workers the list holds. */
+    /** Number of listed workers. */
     int listedCount() {
         return listed.size();
     }
 
-    /** To how many of them nothing new goes at present. */
+    /** Number of listed workers that currently receive no new jobs. */
     int avoidedCount() {
         int avoided = 0;
         for (String name : listed.keySet()) {
-            avoided += core.avoids(numbers.get(name)) ? 1 : 0;
+            avoided += core.avoids(idsByName.get(name)) ? 1 : 0;
         }
         return avoided;
     }
 
-    /** Whether discovery ever named it. */
+    /** Whether discovery has listed this worker, now or among the removed ones still kept. */
     boolean isKnown(String name) {
-        return numbers.containsKey(name);
+        return idsByName.containsKey(name);
     }
 
-    /** Tells the core of a worker that was taken out or put back. */
+    /** Updates the core after operators excluded or re-included a worker. */
     void banChanged(String name) {
         WorkerListing.Entry entry = listed.get(name);
         if (entry != null) {
-            long id = numbers.get(name);
+            long id = idsByName.get(name);
             core.updateWorkers(ListKind.CHANGES, List.of(worker(id, entry)), Map.of());
         }
     }
 
-    /** A whole list's silence on a worker says that it is gone. */
+    /** Marks workers missing from a whole list as removed. */
     private void dropUnlisted(WorkerListing listing) {
         Set<String> named = new HashSet<>();
         listing.entries().forEach(entry -> named.add(entry.name()));
-        numbers.forEach((name, id) -> {
+        idsByName.forEach((name, id) -> {
             if (!named.contains(name) && listed.remove(name) != null) {
                 LOG.log(Level.FINE, "worker {0} is no longer listed", name);
-                gone.add(name);
+                goneNames.add(name);
             }
         });
     }
 
-    private static int place(List<String> names, String name) {
-        int place = names.indexOf(name);
-        return place < 0 ? UNKNOWN : place;
+    private static int indexOrUnknown(List<String> names, String name) {
+        int index = names.indexOf(name);
+        return index < 0 ? UNKNOWN_INDEX : index;
     }
 }
