--- a/src/main/java/gorserill/program/ContractLoader.java
+++ b/src/main/java/gorserill/program/ContractLoader.java
@@ -30,8 +30,7 @@
         if (contract == null) {
             throw new ConfigException(key, faults.errors() + " faults in " + file + "\n" + faults.text());
         } else if (contract.kind() != kind) {
-            throw new ConfigException(
-                    key, file + " describes another front: it is " + contract.kind() + ", expected " + kind);
+            throw new ConfigException(key, file + " is a contract of kind " + contract.kind() + ", expected " + kind);
         }
         for (Operation operation : contract.operations()) {
             if (operation.acts() && !operation.submits()) {
--- a/src/main/java/gorserill/program/Lifecycle.java
+++ b/src/main/java/gorserill/program/Lifecycle.java
@@ -20,7 +20,7 @@
     /** How long new connections are accepted after SIGTERM, because clients are still routed to this node. */
     private static final long ACCEPT_AFTER_TERM_MICROS = 500_000;
     /**
-     * The earliest SIGKILL after SIGTERM: the longest class deadline, capped at this value, plus
+     * SIGKILL follows SIGTERM at the earliest after the longest class deadline, capped at this value, plus
      * {@link #GRACE_OVER_DEADLINE_MICROS}.
      */
     private static final long MAX_DEADLINE_GRACE_MICROS = 3_000_000;
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Stops accepting jobs and closes idle connections; the process keeps running. */
+    /** Stops accepting jobs after {@link #EVACUATION_INTAKE_MICROS} and closes idle connections; the process keeps running. */
     void evacuate() {
         evacuationRequested = true;
         if (state != State.SERVING) {
--- a/src/main/java/gorserill/program/Node.java
+++ b/src/main/java/gorserill/program/Node.java
@@ -238,7 +238,7 @@
         }
     }
 
-    /** Opens the port for other nodes; retries without blocking while the previous process still holds the address. */
+    /** Binds the port for messages of other nodes; retries without blocking while the previous process holds it. */
     private void openPeerPort() {
         try {
             peers = new PeerPort(loop, config.peers, core::receivedFromPeer);
--- a/src/main/java/gorserill/program/NodeConfig.java
+++ b/src/main/java/gorserill/program/NodeConfig.java
@@ -26,11 +26,12 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** Reads, defaults and checks the node's configuration. */
+/** The node's configuration, read from its file and the environment, with defaults applied and values checked. */
 public final class NodeConfig {
     /** Longest expected pause of the process between two steps on a busy machine. */
     private static final long MAX_PROCESS_PAUSE_MICROS = 150_000;
 
+    /** Lower bound of {@link #maxInputAgeMicros} where the drain grace is short. */
     private static final long MIN_INPUT_AGE_MICROS = 20_000;
 
     private static final int DEFAULT_SOCKETS = 1024;
@@ -72,6 +73,7 @@
     /** How long after a drain is announced the first byte of a job may still be sent to the worker. */
     final long drainGraceMicros;
 
+    /** The workers' own limit on idle connections. */
     final long connectionIdleMicros;
     /** Null if the Faktory front end is disabled. */
     final FaktoryTerms faktory;
