--- a/src/main/java/gorserill/program/Lifecycle.java
+++ b/src/main/java/gorserill/program/Lifecycle.java
@@ -102,7 +102,10 @@
         }
     }
 
-    /** Stops accepting jobs after {@link #EVACUATION_INTAKE_MICROS} and closes idle connections; the process keeps running. */
+    /**
+     * Stops accepting jobs after {@link #EVACUATION_INTAKE_MICROS} and then closes idle connections; the process keeps
+     * running.
+     */
     void evacuate() {
         evacuationRequested = true;
         if (state != State.SERVING) {
