--- a/src/main/java/gorserill/program/FaktoryConfig.java
+++ b/src/main/java/gorserill/program/FaktoryConfig.java
@@ -3,7 +3,7 @@
 import gorserill.contract.Contract;
 import gorserill.contract.JobRule;
 import gorserill.protocol.JobClassInfo;
-import gorserill.protocol.faktory.FaktoryTerms;
+import gorserill.protocol.faktory.FaktorySettings;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -14,7 +14,7 @@
     private FaktoryConfig() {}
 
     /** What the file says, checked; null where there is none or it does not enable the front. */
-    static FaktoryTerms read(
+    static FaktorySettings read(
             Path file, List<String> classNames, Map<String, JobClassInfo> classes, Map<String, JobRule> rules)
             throws ConfigException {
         Map<String, String> values = Flattener.enabled(file);
@@ -45,7 +45,7 @@
         if (queues.isEmpty() && jobtypes.isEmpty()) {
             throw new ConfigException(file + ": queues", "is missing, and so is jobtypes: nothing is bound");
         }
-        return new FaktoryTerms(
+        return new FaktorySettings(
                 NodeConfig.address(values.get("listen"), file + ": listen"),
                 values.getOrDefault("password", ""),
                 queues,
--- a/src/main/java/gorserill/program/Figures.java
+++ b/src/main/java/gorserill/program/Figures.java
@@ -2,7 +2,7 @@
 
 import gorserill.common.Loop;
 import gorserill.protocol.discovery.WatchStatistics;
-import gorserill.protocol.faktory.FaktoryFront;
+import gorserill.protocol.faktory.FaktoryFrontend;
 import gorserill.routing.Core;
 import gorserill.routing.HoldReason;
 import gorserill.routing.JobStatistics;
@@ -17,14 +17,20 @@
     private final List<String> classNames;
     private final Core core;
     private final Fleet fleet;
-    private final FaktoryFront faktory;
+    private final FaktoryFrontend faktory;
     private final Loop loop;
     private final WatchStatistics watch;
     private long reloads;
     private long faultyReloads;
 
     /** @param faktory null where that front is off */
-    Figures(List<String> classNames, Core core, Fleet fleet, FaktoryFront faktory, Loop loop, WatchStatistics watch) {
+    Figures(
+            List<String> classNames,
+            Core core,
+            Fleet fleet,
+            FaktoryFrontend faktory,
+            Loop loop,
+            WatchStatistics watch) {
         this.loop = loop;
         this.watch = watch;
         this.classNames = classNames;
@@ -52,8 +58,8 @@
         }
         line(text, "backend_calls_total", tally.attempts());
         line(text, "inflight", core.openRequests());
-        line(text, "hosts_listed", fleet.listed() + (faktory == null ? 0 : faktory.workers()));
-        line(text, "hosts_down", fleet.avoided() + (faktory == null ? 0 : faktory.avoided()));
+        line(text, "hosts_listed", fleet.listed() + (faktory == null ? 0 : faktory.workerCount()));
+        line(text, "hosts_down", fleet.avoided() + (faktory == null ? 0 : faktory.avoidedWorkerCount()));
         line(text, "reconfig_ok_total", reloads);
         line(text, "reconfig_failed_total", faultyReloads);
         return text.append(END).toString();
--- a/src/main/java/gorserill/program/Maintenance.java
+++ b/src/main/java/gorserill/program/Maintenance.java
@@ -1,7 +1,7 @@
 package gorserill.program;
 
 import gorserill.common.Loop;
-import gorserill.protocol.faktory.FaktoryFront;
+import gorserill.protocol.faktory.FaktoryFrontend;
 import java.io.IOException;
 import java.util.Set;
 import java.util.logging.Level;
@@ -16,10 +16,10 @@
     private final Loop loop;
     private final Bans bans;
     private final Fleet fleet;
-    private final FaktoryFront faktory;
+    private final FaktoryFrontend faktory;
 
     /** @param faktory null where that front is off */
-    Maintenance(Loop loop, Bans bans, Fleet fleet, FaktoryFront faktory) {
+    Maintenance(Loop loop, Bans bans, Fleet fleet, FaktoryFrontend faktory) {
         this.loop = loop;
         this.bans = bans;
         this.fleet = fleet;
@@ -36,7 +36,7 @@
     String set(String worker, boolean out) {
         // Danger: another process may just have changed it, and a call that seems needless would do nothing.
         apply(bans.refresh());
-        boolean known = fleet.knows(worker) || faktory != null && faktory.knows(worker);
+        boolean known = fleet.knows(worker) || faktory != null && faktory.hasWorker(worker);
         if (!known && !(bans.has(worker) && !out)) {
             return worker.isEmpty() ? "no worker is named" : "no such worker was ever listed";
         }
--- a/src/main/java/gorserill/program/Node.java
+++ b/src/main/java/gorserill/program/Node.java
@@ -13,7 +13,7 @@
 import gorserill.protocol.discovery.CallPace;
 import gorserill.protocol.discovery.WorkerListing;
 import gorserill.protocol.faktory.FaktoryCodec;
-import gorserill.protocol.faktory.FaktoryFront;
+import gorserill.protocol.faktory.FaktoryFrontend;
 import gorserill.protocol.http.HttpCodec;
 import gorserill.protocol.http.HttpFrontend;
 import gorserill.protocol.http.HttpWatch;
@@ -65,7 +65,7 @@
     /** Null where other nodes are not spoken to. */
     private volatile PeerPort peers;
 
-    private FaktoryFront faktory;
+    private FaktoryFrontend faktory;
     /** Null where the node is no member of a cluster. */
     private ClusterPart cluster;
 
@@ -144,7 +144,7 @@
                 loop, Logger.getLogger(ContractGate.class.getName()), "workers' answers not as described");
         Tenants tenants = new Tenants(config.tenantNames);
         if (config.faktory != null) {
-            faktory = new FaktoryFront(
+            faktory = new FaktoryFrontend(
                     loop,
                     core,
                     config.faktory,
--- a/src/main/java/gorserill/program/NodeConfig.java
+++ b/src/main/java/gorserill/program/NodeConfig.java
@@ -11,7 +11,7 @@
 import gorserill.contract.JobRule;
 import gorserill.protocol.JobClassInfo;
 import gorserill.protocol.discovery.WorkerListing;
-import gorserill.protocol.faktory.FaktoryTerms;
+import gorserill.protocol.faktory.FaktorySettings;
 import gorserill.protocol.http.LoadFieldNames;
 import gorserill.protocol.peers.PeerPort;
 import gorserill.transport.Transport;
@@ -75,7 +75,7 @@
 
     final long connectionIdle;
     /** Null where the front is off. */
-    final FaktoryTerms faktory;
+    final FaktorySettings faktory;
     /** Null where the node is no member of a cluster. */
     final ClusterConfig cluster;
     /** Null where no description binds the HTTP front: then its paths are the classes' names. */
--- a/src/main/java/gorserill/protocol/faktory/FaktoryFront.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktoryFrontend.java
@@ -52,8 +52,8 @@
  * The Faktory work protocol in front of the core: clients' PUSHes are requests, worker processes are workers.
  * There is no disk, so a PUSH is answered when its fate is known: +OK where it was served, else -ERR.
  */
-public final class FaktoryFront implements ClientFrontend {
-    private static final Logger LOG = Logger.getLogger(FaktoryFront.class.getName());
+public final class FaktoryFrontend implements ClientFrontend {
+    private static final Logger LOG = Logger.getLogger(FaktoryFrontend.class.getName());
     private static final int VERSION = 2;
     private static final int ITERATIONS = 1_545;
     private static final int MAX_WAITING = 64;
@@ -82,7 +82,7 @@
     private final ThrottledWarnings complaints;
     private final Predicate<String> banned;
     private final ContractGate gate;
-    private FaktoryTerms terms;
+    private FaktorySettings terms;
     private final SplittableRandom random;
     private final long startedAt;
     private final Set<Session> sessions = new HashSet<>();
@@ -105,7 +105,7 @@
     private boolean dismissed;
 
     /** Whether a worker of that wid is here. */
-    public boolean knows(String wid) {
+    public boolean hasWorker(String wid) {
         return members.containsKey(wid);
     }
 
@@ -117,12 +117,12 @@
         }
     }
 
-    public int workers() {
+    public int workerCount() {
         return members.size();
     }
 
     /** To how many workers nothing new goes at present. */
-    public int avoided() {
+    public int avoidedWorkerCount() {
         int avoided = 0;
         for (Member member : members.values()) {
             avoided += core.avoids(member.worker.id) ? 1 : 0;
@@ -145,10 +145,10 @@
      * @param room in which the codec keeps lines; freed here when they are done with
      * @param banned which wids operators have taken out
      */
-    public FaktoryFront(
+    public FaktoryFrontend(
             Loop loop,
             Core core,
-            FaktoryTerms terms,
+            FaktorySettings terms,
             Tenants tenants,
             ContractGate gate,
             long seed,
@@ -169,7 +169,7 @@
     }
 
     /** From now on other queues and job types are bound, and another password is asked for. */
-    public void reload(FaktoryTerms changed) {
+    public void reload(FaktorySettings changed) {
         terms = changed;
         gate.replace(changed.contract());
     }
--- a/src/main/java/gorserill/protocol/faktory/FaktoryTerms.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktorySettings.java
@@ -17,7 +17,7 @@
  * @param classes their terms, by name
  * @param contract that jobs are held against; null for none
  */
-public record FaktoryTerms(
+public record FaktorySettings(
         InetSocketAddress listen,
         String password,
         Map<String, String> queues,
--- a/src/main/java/gorserill/protocol/faktory/FaktoryWorker.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktoryWorker.java
@@ -79,7 +79,7 @@
     final String wid;
     final long id;
     private final Loop loop;
-    private final Supplier<FaktoryTerms> terms;
+    private final Supplier<FaktorySettings> terms;
     private final Deque<Fetcher> fetchers = new ArrayDeque<>();
     private final Deque<Waiting> waiting = new ArrayDeque<>();
     private final Map<String, Reservation> reservations = new HashMap<>();
@@ -90,7 +90,7 @@
     private boolean gone;
 
     /** @param terms those in force at the moment */
-    FaktoryWorker(Loop loop, Supplier<FaktoryTerms> terms, String wid, long id) {
+    FaktoryWorker(Loop loop, Supplier<FaktorySettings> terms, String wid, long id) {
         this.loop = loop;
         this.terms = terms;
         this.wid = wid;
--- a/src/test/java/gorserill/protocol/http/ClientLeftTest.java
+++ b/src/test/java/gorserill/protocol/http/ClientLeftTest.java
@@ -14,8 +14,8 @@
 import gorserill.protocol.JobClassInfo;
 import gorserill.protocol.Tenants;
 import gorserill.protocol.faktory.FaktoryCodec;
-import gorserill.protocol.faktory.FaktoryFront;
-import gorserill.protocol.faktory.FaktoryTerms;
+import gorserill.protocol.faktory.FaktoryFrontend;
+import gorserill.protocol.faktory.FaktorySettings;
 import gorserill.protocol.http.FakeServers.AcceptedConnection;
 import gorserill.routing.JobSpec;
 import gorserill.routing.RequestOptions;
@@ -423,7 +423,7 @@
 
     private InetSocketAddress listenFaktory() throws Exception {
         InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
-        FaktoryTerms terms = new FaktoryTerms(
+        FaktorySettings terms = new FaktorySettings(
                 to,
                 "",
                 Map.of("default", "estado"),
@@ -431,7 +431,7 @@
                 List.of("estado"),
                 Map.of("estado", new JobClassInfo(0, 2_000_000, false, false)),
                 null);
-        FaktoryFront frontend = fixture.runOnLoop(() -> new FaktoryFront(
+        FaktoryFrontend frontend = fixture.runOnLoop(() -> new FaktoryFrontend(
                 fixture.loop,
                 fixture.core,
                 terms,
