--- a/src/main/java/gorserill/protocol/faktory/FaktoryCodec.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktoryCodec.java
@@ -18,39 +18,46 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /**
- * The Faktory work protocol's frames as a filter. Upwards go lists of {@link Line}s,
- * {@link ChannelListener#PARTIAL_MESSAGE} where one is not whole yet, or a {@link FrameException}, after which nothing
- * comes. Downwards it takes replies as {@code byte[]}.
+ * Filter that encodes and decodes the frames of the Faktory work protocol. Reads produce lists that contain
+ * {@link Line}s, {@link ChannelListener#PARTIAL_MESSAGE} if a line is incomplete, or a {@link FrameException}, after
+ * which nothing more is decoded on that connection. Writes take replies as {@code byte[]}.
  */
 public final class FaktoryCodec extends BaseFilter {
-    /** The longest line: a body of 64 KiB and its verb. */
-    static final int MAX_LINE = 64 * 1024 + 16;
+    /** Maximum length of a line: a body of 64 KiB and its verb. */
+    static final int MAX_LINE_BYTES = 64 * 1024 + 16;
 
     private final Attribute<State> states = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("gorserill.faktory");
 
-    private final MemoryBudget room;
+    private final MemoryBudget memoryBudget;
 
+    /** Decoder state of a connection; guarded by its own monitor. */
     private static final class State {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        boolean broken;
-        boolean begun;
+        /** Set after a frame error or at the end of the connection; further input is ignored. */
+        boolean closed;
+        /** Whether the last read ended within a line. */
+        boolean partial;
     }
 
-    /** A command; {@code size} is the room that it takes, which whoever has done with it frees. */
-    record Line(String text, int size) {}
+    /**
+     * A command line.
+     *
+     * @param sizeBytes charged to the memory budget; the receiver releases it once the command has been processed
+     */
+    record Line(String text, int sizeBytes) {}
 
-    /** A line that can't be a command. */
+    /** Reports input that can't be decoded into a command line. */
     static final class FrameException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        FrameException(String why) {
-            super(why);
+        FrameException(String reason) {
+            super(reason);
         }
     }
 
-    /** @param room taken for each line */
-    public FaktoryCodec(MemoryBudget room) {
-        this.room = room;
+    /** @param memoryBudget charged for the bytes of each line */
+    public FaktoryCodec(MemoryBudget memoryBudget) {
+        this.memoryBudget = memoryBudget;
     }
 
     @Override
@@ -59,8 +66,8 @@
         if (state == null) {
             state = new State();
             states.set(ctx.getConnection(), state);
-            State its = state;
-            ((Closeable) ctx.getConnection()).addCloseListener((connection, type) -> end(its));
+            State connectionState = state;
+            ((Closeable) ctx.getConnection()).addCloseListener((connection, type) -> end(connectionState));
         }
         Buffer buffer = ctx.getMessage();
         List<Object> out = new ArrayList<>(2);
@@ -75,40 +82,40 @@
     private void read(State state, ByteBuffer in, List<Object> out) {
         try {
             decode(state, in, out);
-            boolean more = state.line.size() > 0;
-            if (more && (!state.begun || !out.isEmpty())) {
+            boolean partial = state.line.size() > 0;
+            if (partial && (!state.partial || !out.isEmpty())) {
                 out.add(ChannelListener.PARTIAL_MESSAGE);
             }
-            state.begun = more;
+            state.partial = partial;
         } catch (FrameException e) {
-            state.broken = true;
+            state.closed = true;
             dropLine(state);
             out.add(e);
         }
     }
 
     private void dropLine(State state) {
-        room.release(state.line.size());
+        memoryBudget.release(state.line.size());
         state.line = new ByteArrayOutputStream();
     }
 
-    /** On whichever thread the connection ends. */
+    /** Releases the partial line; called on the thread that closes the connection. */
     private void end(State state) {
         synchronized (state) {
-            state.broken = true;
+            state.closed = true;
             dropLine(state);
         }
     }
 
     private void decode(State state, ByteBuffer in, List<Object> out) throws FrameException {
-        while (in.hasRemaining() && !state.broken) {
+        while (in.hasRemaining() && !state.closed) {
             byte b = in.get();
             if (b == '\n') {
                 out.add(new Line(text(state.line.toByteArray()), state.line.size()));
                 state.line = new ByteArrayOutputStream();
-            } else if (state.line.size() >= MAX_LINE) {
-                throw new FrameException("a line of more than " + MAX_LINE + " bytes");
-            } else if (!room.tryReserve(1)) {
+            } else if (state.line.size() >= MAX_LINE_BYTES) {
+                throw new FrameException("a line of more than " + MAX_LINE_BYTES + " bytes");
+            } else if (!memoryBudget.tryReserve(1)) {
                 throw new FrameException("no room for more jobs at present");
             } else {
                 state.line.write(b);
--- a/src/main/java/gorserill/protocol/faktory/FaktoryFrontend.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktoryFrontend.java
@@ -49,164 +49,179 @@
 import java.util.logging.Logger;
 
 /**
- * The Faktory work protocol in front of the core: clients' PUSHes are requests, worker processes are workers.
- * There is no disk, so a PUSH is answered when its fate is known: +OK where it was served, else -ERR.
+ * Server side of the Faktory work protocol. Translates PUSH commands into requests to the {@link Core} and registers
+ * each Faktory worker process as a worker. Jobs are not stored on disk, so the reply to a PUSH is sent only when the
+ * outcome is final: +OK if the job was served, -ERR otherwise.
  */
 public final class FaktoryFrontend implements ClientFrontend {
     private static final Logger LOG = Logger.getLogger(FaktoryFrontend.class.getName());
-    private static final int VERSION = 2;
-    private static final int ITERATIONS = 1_545;
-    private static final int MAX_WAITING = 64;
-    /** HELLO must be said so long after connecting, and a line be whole so long after its first byte. */
-    private static final long WHOLE_LINE = 2_300_000;
-    /** So long a connection stays open for its client to read why it was turned away. */
-    private static final long LINGER = 1_000_000;
-    /** A FETCH waits so long for a job; a connection may stay silent for a minute, as Faktory has it. */
-    private static final long FETCH = 2_000_000;
-
-    private static final long SILENCE = 60_000_000;
-    /** Workers that come by themselves are numbered from here, clear of discovery's. */
-    private static final long FIRST_WORKER = 1L << 40;
-    /** No Faktory worker promises to drop repeats, so each is a zone of its own to the decision module. */
+    private static final int PROTOCOL_VERSION = 2;
+    /** Rounds of SHA-256 over the password and salt, sent to the client in HI. */
+    private static final int HASH_ITERATIONS = 1_545;
+    /** Maximum number of commands that one connection may pipeline. */
+    private static final int MAX_QUEUED_COMMANDS = 64;
+    /** Time limit for HELLO after the connection opens, and for the rest of a line after its first byte. */
+    private static final long LINE_TIMEOUT_MICROS = 2_300_000;
+    /** How long a connection stays open after its last reply, so that the client can read the reply. */
+    private static final long LINGER_MICROS = 1_000_000;
+    /** How long a FETCH waits for a job before it is answered with a null reply. */
+    private static final long FETCH_TIMEOUT_MICROS = 2_000_000;
+    /** A connection that sends nothing for this long is closed; the Faktory server has the same limit. */
+    private static final long IDLE_TIMEOUT_MICROS = 60_000_000;
+    /** First id of workers that register over Faktory; the range doesn't overlap with ids from discovery. */
+    private static final long FIRST_WORKER_ID = 1L << 40;
+    /** Faktory workers don't deduplicate jobs, so the dispatcher sees each of them as a separate zone. */
     private static final int FIRST_ZONE = 1 << 16;
-
-    private static final int ANY_KIND = 255;
-    /** Fates of unsafe jobs are remembered by jid, the last so many. */
-    private static final int FATES = 4_096;
+    /** Machine kind of Faktory workers, which don't report one. */
+    private static final int UNKNOWN_MACHINE_KIND = 255;
+    /** Number of unsafe jobs, by jid, whose outcomes are remembered; the oldest are evicted first. */
+    private static final int MAX_REMEMBERED_OUTCOMES = 4_096;
 
     private final Loop loop;
     private final Core core;
     private final Tenants tenants;
-    private final long nodeName;
-    private final MemoryBudget room;
-    private final ThrottledWarnings complaints;
-    private final Predicate<String> banned;
+    private final long nodeSeed;
+    private final MemoryBudget memoryBudget;
+    private final ThrottledWarnings warnings;
+    private final Predicate<String> isBanned;
     private final ContractGate gate;
-    private FaktorySettings terms;
+    private FaktorySettings settings;
     private final SplittableRandom random;
     private final long startedAt;
     private final Set<Session> sessions = new HashSet<>();
-    private final Map<String, Member> members = new HashMap<>();
-    /** Danger: a client that lost its connection pushes the job again; an unsafe one must not run twice. */
+    private final Map<String, RegisteredWorker> registeredWorkers = new HashMap<>();
+    /**
+     * Outcomes of unsafe jobs: whether the job with this jid was served. A client that lost its connection pushes the
+     * job again, and an unsafe job must not run twice.
+     */
     private final Map<String, Boolean> servedByJid = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > FATES;
+            return size() > MAX_REMEMBERED_OUTCOMES;
         }
     };
 
-    private long workers;
-    private long processed;
-    private long failures;
-    private long commands;
+    private long assignedWorkerIds;
+    private long servedJobs;
+    private long failedJobs;
+    private long commandCount;
     private IntakeMode intake = IntakeMode.OPEN;
-    private boolean dismissed;
+    private boolean shuttingDown;
 
-    /** Whether a worker of that wid is here. */
+    /** Returns whether a worker with this wid is connected. */
     public boolean hasWorker(String wid) {
-        return members.containsKey(wid);
+        return registeredWorkers.containsKey(wid);
     }
 
-    /** A worker was taken out by hand, or put back. */
+    /** Updates the worker's state after an operator has taken it out of service or put it back. */
     public void banChanged(String wid) {
-        Member member = members.get(wid);
-        if (member != null) {
-            tell(member);
+        RegisteredWorker registration = registeredWorkers.get(wid);
+        if (registration != null) {
+            publishState(registration);
         }
     }
 
     public int workerCount() {
-        return members.size();
+        return registeredWorkers.size();
     }
 
-    /** To how many workers nothing new goes at present. */
+    /** Number of workers to which the dispatcher currently sends no new jobs. */
     public int avoidedWorkerCount() {
         int avoided = 0;
-        for (Member member : members.values()) {
-            avoided += core.avoids(member.worker.id) ? 1 : 0;
+        for (RegisteredWorker registration : registeredWorkers.values()) {
+            avoided += core.avoids(registration.worker.id) ? 1 : 0;
         }
         return avoided;
     }
 
-    private static final class Member {
+    /** A worker process and its open connections. */
+    private static final class RegisteredWorker {
         final FaktoryWorker worker;
         final Set<Session> sessions = new HashSet<>();
         WorkerState state = WorkerState.READY;
 
-        Member(FaktoryWorker worker) {
+        RegisteredWorker(FaktoryWorker worker) {
             this.worker = worker;
         }
     }
 
     /**
-     * @param gate which holds jobs against a contract, if there is one
-     * @param room in which the codec keeps lines; freed here when they are done with
-     * @param banned which wids operators have taken out
+     * Creates the frontend; connections are added by {@link #accept}.
+     *
+     * @param settings the initial settings; {@link #reload} replaces them
+     * @param gate validates jobs against the contract, if one is configured
+     * @param seed makes the global ids of this node's workers differ from those of other nodes; also seeds the salts
+     *     sent in HI
+     * @param memoryBudget charged by the codec for each line; released here once the command has been processed
+     * @param isBanned whether operators have taken the worker with this wid out of service
      */
     public FaktoryFrontend(
             Loop loop,
             Core core,
-            FaktorySettings terms,
+            FaktorySettings settings,
             Tenants tenants,
             ContractGate gate,
             long seed,
-            MemoryBudget room,
-            Predicate<String> banned) {
+            MemoryBudget memoryBudget,
+            Predicate<String> isBanned) {
         this.tenants = tenants;
-        nodeName = seed;
+        nodeSeed = seed;
         this.gate = gate;
-        gate.replace(terms.contract());
-        this.banned = banned;
+        gate.replace(settings.contract());
+        this.isBanned = isBanned;
         this.loop = loop;
-        this.room = room;
-        complaints = new ThrottledWarnings(loop, LOG, "faktory connections");
+        this.memoryBudget = memoryBudget;
+        warnings = new ThrottledWarnings(loop, LOG, "faktory connections");
         this.core = core;
-        this.terms = terms;
+        this.settings = settings;
         random = new SplittableRandom(seed);
         startedAt = loop.now();
     }
 
-    /** From now on other queues and job types are bound, and another password is asked for. */
-    public void reload(FaktorySettings changed) {
-        terms = changed;
-        gate.replace(changed.contract());
+    /** Applies new settings: bindings of queues and job types, the password and the contract. */
+    public void reload(FaktorySettings newSettings) {
+        settings = newSettings;
+        gate.replace(newSettings.contract());
     }
 
     public ContractGate gate() {
         return gate;
     }
 
-    /** A peer for a connection just accepted. */
+    /** Creates the listener for a newly accepted connection. */
     public ChannelListener accept() {
         return new Session();
     }
 
     @Override
     public void advertiseReady(boolean clients) {
-        // The protocol has no word for it.
+        // The Faktory protocol has no message for readiness.
     }
 
     @Override
-    public void setIntakeMode(IntakeMode now) {
-        intake = now;
+    public void setIntakeMode(IntakeMode mode) {
+        intake = mode;
     }
 
-    /** From now on workers are told to end, and get nothing new. */
+    /** From now on, BEAT is answered with the state "terminate", and FETCH returns no more jobs. */
     @Override
     public void announceShutdown() {
-        dismissed = true;
+        shuttingDown = true;
         for (Session session : List.copyOf(sessions)) {
             session.endFetch();
         }
     }
 
-    /** Workers keep theirs: they are needed for what is open. */
+    /** Closes idle client connections. Worker connections stay open, because open jobs need them. */
     @Override
     public void closeIdle() {
         for (Session session : List.copyOf(sessions)) {
-            if (session.push == null && session.member == null && !session.ended && session.waiting.isEmpty()) {
+            if (session.pendingPush == null
+                    && session.registration == null
+                    && !session.ended
+                    && session.queuedCommands.isEmpty()) {
                 session.channel.closeIfIdle();
             }
         }
@@ -214,17 +229,18 @@
 
     @Override
     public boolean hasNoClients() {
-        return sessions.stream().allMatch(session -> session.member != null);
+        return sessions.stream().allMatch(session -> session.registration != null);
     }
 
-    private void tell(Member member) {
-        FaktoryWorker worker = member.worker;
-        int zone = FIRST_ZONE + (int) (worker.id - FIRST_WORKER);
-        boolean out = member.state == WorkerState.READY && banned.test(worker.wid);
-        WorkerState state = out ? WorkerState.DRAINING : member.state;
-        // Danger: no other node knows this worker, though its own guests have the same numbers.
-        long name = nodeName ^ worker.id * 0x9e3779b97f4a7c15L;
-        core.updateRegisteredWorker(new Worker(worker.id, ANY_KIND, zone, 0, state, 0, name), worker);
+    /** Reports the worker's current state to the core. */
+    private void publishState(RegisteredWorker registration) {
+        FaktoryWorker worker = registration.worker;
+        int zone = FIRST_ZONE + (int) (worker.id - FIRST_WORKER_ID);
+        boolean takenOut = registration.state == WorkerState.READY && isBanned.test(worker.wid);
+        WorkerState state = takenOut ? WorkerState.DRAINING : registration.state;
+        // Every node numbers its Faktory workers from the same id, so the node's seed makes the global id unique.
+        long globalId = nodeSeed ^ worker.id * 0x9e3779b97f4a7c15L;
+        core.updateRegisteredWorker(new Worker(worker.id, UNKNOWN_MACHINE_KIND, zone, 0, state, 0, globalId), worker);
     }
 
     private static String refusal(long waitMicros) {
@@ -244,41 +260,44 @@
         }
     }
 
-    /** A connection, of a client, a worker or both; its commands are carried out one after another. */
+    /** A connection of a client, a worker or a process that is both. Its commands are processed one at a time. */
     private final class Session implements ChannelListener, FaktoryWorker.Fetcher {
-        private final Deque<FaktoryCodec.Line> waiting = new ArrayDeque<>();
+        private final Deque<FaktoryCodec.Line> queuedCommands = new ArrayDeque<>();
         private final String salt = Long.toHexString(random.nextLong());
         private Channel channel;
-        private boolean known;
+        private boolean helloAccepted;
         private boolean ended;
-        private Member member;
-        private Push push;
+        private RegisteredWorker registration;
+        private Push pendingPush;
         private List<String> queues = List.of();
-        private Deadline fetch;
-        private Deadline silence;
-        /** Of HELLO, or of a line that was begun. */
-        private Deadline whole;
-        /** The room that the command at hand takes. */
-        private int size;
+        private Deadline fetchTimeout;
+        /** Closes the connection when it is idle, or at the end of the lingering period. */
+        private Deadline closeTimeout;
+        /** Time limit for HELLO, or for the rest of a partial line. */
+        private Deadline lineTimeout;
+        /** Memory charged for the current command. */
+        private int sizeBytes;
 
         @Override
         public void opened(Channel opened) {
             channel = opened;
             sessions.add(this);
-            heard();
-            whole = loop.at(loop.now() + WHOLE_LINE, () -> refuse("no whole HELLO in time", true));
-            channel.write(Replies.simple("HI {\"v\":" + VERSION
-                    + (terms.password().isEmpty() ? "}" : ",\"s\":\"" + salt + "\",\"i\":" + ITERATIONS + "}")));
-        }
-
-        private void heard() {
-            loop.cancel(silence);
-            silence = loop.at(loop.now() + SILENCE, () -> {
-                if (push == null) {
+            restartIdleTimeout();
+            lineTimeout = loop.at(loop.now() + LINE_TIMEOUT_MICROS, () -> refuse("no whole HELLO in time", true));
+            channel.write(Replies.simple("HI {\"v\":" + PROTOCOL_VERSION
+                    + (settings.password().isEmpty()
+                            ? "}"
+                            : ",\"s\":\"" + salt + "\",\"i\":" + HASH_ITERATIONS + "}")));
+        }
+
+        private void restartIdleTimeout() {
+            loop.cancel(closeTimeout);
+            closeTimeout = loop.at(loop.now() + IDLE_TIMEOUT_MICROS, () -> {
+                if (pendingPush == null) {
                     LOG.log(Level.INFO, "faktory connection {0}: silent for a minute, closed", channel.tableIndex());
                     channel.close();
                 } else {
-                    heard();
+                    restartIdleTimeout();
                 }
             });
         }
@@ -287,47 +306,49 @@
         @SuppressWarnings("unchecked")
         public void received(Object messages) {
             if (!ended) {
-                heard();
+                restartIdleTimeout();
             }
             for (Object message : (List<Object>) messages) {
                 if (message instanceof FaktoryCodec.Line line) {
-                    line(line);
+                    enqueue(line);
                 } else if (!ended && message == PARTIAL_MESSAGE) {
-                    // A line that drips in holds a connection; until HELLO the first deadline stands.
-                    if (known && whole == null) {
-                        whole = loop.at(loop.now() + WHOLE_LINE, () -> refuse("no whole line in time", true));
+                    // Limits how long a slowly sent line can hold a connection. Before HELLO, the limit set when
+                    // the connection opened stays in force.
+                    if (helloAccepted && lineTimeout == null) {
+                        lineTimeout =
+                                loop.at(loop.now() + LINE_TIMEOUT_MICROS, () -> refuse("no whole line in time", true));
                     }
                 } else if (!ended) {
                     refuse(((FrameException) message).getMessage(), true);
                 }
             }
-            next();
+            processQueued();
         }
 
-        private void line(FaktoryCodec.Line line) {
-            if (known) {
-                loop.cancel(whole);
-                whole = null;
+        private void enqueue(FaktoryCodec.Line line) {
+            if (helloAccepted) {
+                loop.cancel(lineTimeout);
+                lineTimeout = null;
             }
-            if (!ended && waiting.size() < MAX_WAITING) {
-                waiting.add(line);
+            if (!ended && queuedCommands.size() < MAX_QUEUED_COMMANDS) {
+                queuedCommands.add(line);
                 return;
             }
-            room.release(line.size());
+            memoryBudget.release(line.sizeBytes());
             if (!ended) {
-                refuse("more than " + MAX_WAITING + " commands without waiting for their replies", true);
+                refuse("more than " + MAX_QUEUED_COMMANDS + " commands without waiting for their replies", true);
             }
         }
 
-        private void next() {
-            while (!ended && push == null && fetch == null && !waiting.isEmpty()) {
-                FaktoryCodec.Line next = waiting.remove();
+        private void processQueued() {
+            while (!ended && pendingPush == null && fetchTimeout == null && !queuedCommands.isEmpty()) {
+                FaktoryCodec.Line next = queuedCommands.remove();
                 String line = next.text();
-                size = next.size();
+                sizeBytes = next.sizeBytes();
                 int space = line.indexOf(' ');
-                commands++;
+                commandCount++;
                 try {
-                    command(
+                    execute(
                             space < 0 ? line : line.substring(0, space),
                             space < 0 ? "" : line.substring(space + 1).trim());
                 } catch (IOException e) {
@@ -336,12 +357,12 @@
                                     + e.getMessage().lines().findFirst().orElse(""),
                             false);
                 }
-                if (push == null) {
-                    room.release(size);
+                if (pendingPush == null) {
+                    memoryBudget.release(sizeBytes);
                 }
             }
-            if (!ended && push == null && fetch == null && member == null) {
-                if (known) {
+            if (!ended && pendingPush == null && fetchTimeout == null && registration == null) {
+                if (helloAccepted) {
                     channel.markIdle();
                 } else {
                     channel.markUnproven();
@@ -349,12 +370,12 @@
             }
         }
 
-        private void command(String verb, String rest) throws IOException {
+        private void execute(String verb, String rest) throws IOException {
             if (verb.equals("END")) {
                 end();
             } else if (verb.equals("HELLO")) {
                 hello(rest);
-            } else if (!known) {
+            } else if (!helloAccepted) {
                 refuse("say HELLO first", true);
             } else if (verb.equals("PUSH")) {
                 push(FaktoryJob.parse(rest), rest);
@@ -362,50 +383,52 @@
                 channel.write(Replies.bulk(info()));
             } else if (!Set.of("FETCH", "ACK", "FAIL", "BEAT").contains(verb)) {
                 refuse("unknown command " + verb, false);
-            } else if (member == null) {
+            } else if (registration == null) {
                 refuse(verb + " is for workers; HELLO told no wid", false);
             } else {
-                work(verb, rest);
+                workerCommand(verb, rest);
             }
         }
 
-        private void work(String verb, String rest) throws IOException {
+        private void workerCommand(String verb, String rest) throws IOException {
             if (verb.equals("FETCH")) {
                 fetch(rest);
             } else if (verb.equals("BEAT")) {
                 beat(rest);
             } else {
-                String jid = FaktoryJob.field(rest, "jid");
+                String jid = FaktoryJob.textField(rest, "jid");
                 if (jid == null) {
                     refuse(verb + " needs a jid", false);
                     return;
                 }
                 channel.write(Replies.OK);
                 if (verb.equals("ACK")) {
-                    member.worker.ack(jid);
+                    registration.worker.ack(jid);
                 } else {
-                    LOG.log(Level.INFO, "faktory worker {0} failed job {1}", new Object[] {member.worker.wid, jid});
-                    member.worker.fail(jid);
+                    LOG.log(Level.INFO, "faktory worker {0} failed job {1}", new Object[] {registration.worker.wid, jid
+                    });
+                    registration.worker.fail(jid);
                 }
             }
         }
 
         private void hello(String rest) throws IOException {
-            String wid = FaktoryJob.field(rest, "wid");
-            String version = FaktoryJob.field(rest, "v");
-            if (known) {
+            String wid = FaktoryJob.textField(rest, "wid");
+            String version = FaktoryJob.textField(rest, "v");
+            if (helloAccepted) {
                 refuse("HELLO was said before", false);
-            } else if (version != null && !version.equals(Integer.toString(VERSION))) {
-                refuse("protocol version " + version + " is not spoken here, " + VERSION + " is", true);
-            } else if (!terms.password().isEmpty()
+            } else if (version != null && !version.equals(Integer.toString(PROTOCOL_VERSION))) {
+                refuse("protocol version " + version + " is not spoken here, " + PROTOCOL_VERSION + " is", true);
+            } else if (!settings.password().isEmpty()
                     && !MessageDigest.isEqual(
-                            digest(terms.password(), salt, ITERATIONS).getBytes(StandardCharsets.UTF_8),
-                            String.valueOf(FaktoryJob.field(rest, "pwdhash")).getBytes(StandardCharsets.UTF_8))) {
+                            digest(settings.password(), salt, HASH_ITERATIONS).getBytes(StandardCharsets.UTF_8),
+                            String.valueOf(FaktoryJob.textField(rest, "pwdhash"))
+                                    .getBytes(StandardCharsets.UTF_8))) {
                 refuse("invalid password", true);
             } else {
-                known = true;
-                loop.cancel(whole);
-                whole = null;
+                helloAccepted = true;
+                loop.cancel(lineTimeout);
+                lineTimeout = null;
                 channel.write(Replies.OK);
                 if (wid != null && !wid.isEmpty()) {
                     join(wid);
@@ -414,27 +437,28 @@
         }
 
         private void join(String wid) {
-            member = members.get(wid);
-            if (member == null) {
-                member = new Member(new FaktoryWorker(loop, () -> terms, wid, FIRST_WORKER + workers++));
-                members.put(wid, member);
+            registration = registeredWorkers.get(wid);
+            if (registration == null) {
+                registration = new RegisteredWorker(
+                        new FaktoryWorker(loop, () -> settings, wid, FIRST_WORKER_ID + assignedWorkerIds++));
+                registeredWorkers.put(wid, registration);
                 LOG.log(Level.INFO, "faktory worker {0} joined", wid);
-                tell(member);
+                publishState(registration);
             }
-            member.sessions.add(this);
+            registration.sessions.add(this);
         }
 
         private void push(FaktoryJob job, String text) throws IOException {
             Boolean served = servedByJid.get(job.jid());
             if (served != null) {
-                // Whatever is described by now: it was taken once, and that is its answer.
+                // The recorded outcome is the reply, even if the contract no longer accepts such a job.
                 LOG.log(Level.INFO, "job {0} was pushed again; not run again", job.jid());
                 channel.write(served ? Replies.OK : Replies.error("failed: it may have run before"));
                 return;
             }
             Admission admission = null;
             if (gate.hasContract()) {
-                JsonNode unit = FaktoryJob.value(text);
+                JsonNode unit = FaktoryJob.parseTree(text);
                 admission = gate.admit(
                         true, contract -> Door.decide(contract, job.queue(), job.jobtype(), unit.get("custom"), unit));
                 if (!admission.verdict().letIn()) {
@@ -442,50 +466,54 @@
                     return;
                 }
             }
-            JobClassInfo of = terms.classOf(
+            JobClassInfo jobClass = settings.classOf(
                     job,
                     admission == null
                             ? null
                             : admission.verdict().operation().terms().className());
-            String learned = admission == null ? null : admission.verdict().key();
-            String key = learned == null ? job.idempotencyKey() : learned;
-            if (of == null) {
+            String contractKey = admission == null ? null : admission.verdict().key();
+            String key = contractKey == null ? job.idempotencyKey() : contractKey;
+            if (jobClass == null) {
                 refuse("neither queue " + job.queue() + " nor job type " + job.jobtype() + " is bound here", false);
             } else if (job.at() != null) {
                 refuse("jobs for later are not kept here", false);
-            } else if (of.keyed() && key == null) {
+            } else if (jobClass.keyed() && key == null) {
                 refuse("jobs of this class need custom.idempotency_key", false);
             } else if (intake == IntakeMode.CLOSED) {
-                refuse(refusal(core.countTurnedAway(of.index())), member == null);
+                refuse(refusal(core.countTurnedAway(jobClass.index())), registration == null);
             } else if (core.isOpen(job.jid())) {
                 refuse("job " + job.jid() + " is in progress", false);
             } else {
-                take(job, text, of, key, admission);
+                submit(job, text, jobClass, key, admission);
             }
         }
 
-        private void take(FaktoryJob job, String text, JobClassInfo of, String key, Admission admission) {
-            Terms told =
+        private void submit(FaktoryJob job, String text, JobClassInfo jobClass, String key, Admission admission) {
+            Terms operationTerms =
                     admission == null ? null : admission.verdict().operation().terms();
-            long most = told == null ? of.deadline() : told.within(of.deadline());
-            long left = job.remainingMs() < 0 ? most : Math.min(most, job.remainingMs() * 1_000);
-            double slots = job.slots() >= 0 ? job.slots() : told == null ? 1 : told.usualSlots();
-            JobContract bond = admission == null ? null : gate.bind(admission, job.jid());
-            Push taken = new Push(this, job.jid(), of.unsafe() || bond != null && bond.effect() == Effect.UNSAFE, size);
-            push = taken;
+            long maxMicros = operationTerms == null ? jobClass.deadline() : operationTerms.within(jobClass.deadline());
+            long remainingMicros = job.remainingMs() < 0 ? maxMicros : Math.min(maxMicros, job.remainingMs() * 1_000);
+            double slots = job.slots() >= 0 ? job.slots() : operationTerms == null ? 1 : operationTerms.usualSlots();
+            JobContract jobContract = admission == null ? null : gate.bind(admission, job.jid());
+            Push submitted = new Push(
+                    this,
+                    job.jid(),
+                    jobClass.unsafe() || jobContract != null && jobContract.effect() == Effect.UNSAFE,
+                    sizeBytes);
+            pendingPush = submitted;
             long handle = core.submit(
-                    taken,
+                    submitted,
                     new JobSpec(
                             job.jid(),
-                            of.index(),
+                            jobClass.index(),
                             null,
                             key,
                             FaktoryJob.MEDIA_TYPE,
                             text.getBytes(StandardCharsets.UTF_8),
-                            bond),
+                            jobContract),
                     new RequestOptions(
                             loop.now(),
-                            left,
+                            remainingMicros,
                             false,
                             tenants.indexOf(job.tenant()),
                             0,
@@ -493,26 +521,26 @@
                             0,
                             job.estimateUs(),
                             false));
-            taken.handle = handle;
+            submitted.handle = handle;
         }
 
         private void fetch(String rest) {
             queues = rest.isEmpty() ? List.of(FaktoryJob.DEFAULT_QUEUE) : List.of(rest.split(" +"));
-            if (dismissed || member.state != WorkerState.READY) {
+            if (shuttingDown || registration.state != WorkerState.READY) {
                 channel.write(Replies.NULL);
                 return;
             }
-            fetch = loop.at(loop.now() + FETCH, this::endFetch);
-            member.worker.fetch(this);
+            fetchTimeout = loop.at(loop.now() + FETCH_TIMEOUT_MICROS, this::endFetch);
+            registration.worker.fetch(this);
         }
 
         void endFetch() {
-            if (fetch != null) {
-                loop.cancel(fetch);
-                fetch = null;
-                member.worker.unfetch(this);
+            if (fetchTimeout != null) {
+                loop.cancel(fetchTimeout);
+                fetchTimeout = null;
+                registration.worker.cancelFetch(this);
                 channel.write(Replies.NULL);
-                next();
+                processQueued();
             }
         }
 
@@ -522,33 +550,33 @@
         }
 
         @Override
-        public void afterReads(Runnable then) {
-            channel.runAfterReads(then);
+        public void runAfterReads(Runnable task) {
+            channel.runAfterReads(task);
         }
 
         @Override
-        public BooleanSupplier handOut(byte[] unit, Runnable written) {
-            loop.cancel(fetch);
-            fetch = null;
-            Channel.PendingWrite sending = channel.write(Replies.bulk(unit), written);
-            loop.execute(this::next);
-            return sending::isWritten;
+        public BooleanSupplier send(byte[] unit, Runnable onWritten) {
+            loop.cancel(fetchTimeout);
+            fetchTimeout = null;
+            Channel.PendingWrite pendingWrite = channel.write(Replies.bulk(unit), onWritten);
+            loop.execute(this::processQueued);
+            return pendingWrite::isWritten;
         }
 
         private void beat(String rest) throws IOException {
-            String wid = FaktoryJob.field(rest, "wid");
-            String state = FaktoryJob.field(rest, "current_state");
-            if (!member.worker.wid.equals(wid)) {
+            String wid = FaktoryJob.textField(rest, "wid");
+            String state = FaktoryJob.textField(rest, "current_state");
+            if (!registration.worker.wid.equals(wid)) {
                 refuse("BEAT of another worker, " + wid, false);
                 return;
             }
             boolean quiet = "quiet".equals(state) || "terminate".equals(state);
-            if (quiet && member.state == WorkerState.READY) {
+            if (quiet && registration.state == WorkerState.READY) {
                 LOG.log(Level.INFO, "faktory worker {0} is {1}: nothing new goes there", new Object[] {wid, state});
-                member.state = WorkerState.DRAINING;
-                tell(member);
+                registration.state = WorkerState.DRAINING;
+                publishState(registration);
             }
-            channel.write(dismissed ? Replies.TERMINATE : Replies.OK);
+            channel.write(shuttingDown ? Replies.TERMINATE : Replies.OK);
         }
 
         private byte[] info() {
@@ -558,15 +586,15 @@
                 json.writeStringField("server_utc_time", Instant.now().toString());
                 json.writeObjectFieldStart("faktory");
                 json.writeNumberField("total_enqueued", core.openRequests());
-                json.writeNumberField("total_processed", processed);
-                json.writeNumberField("total_failures", failures);
-                json.writeNumberField("total_queues", terms.queues().size());
+                json.writeNumberField("total_processed", servedJobs);
+                json.writeNumberField("total_failures", failedJobs);
+                json.writeNumberField("total_queues", settings.queues().size());
                 json.writeEndObject();
                 json.writeObjectFieldStart("server");
                 json.writeStringField("description", "gorserill");
                 json.writeNumberField("connections", sessions.size());
-                json.writeNumberField("workers", members.size());
-                json.writeNumberField("command_count", commands);
+                json.writeNumberField("workers", registeredWorkers.size());
+                json.writeNumberField("command_count", commandCount);
                 json.writeNumberField("uptime", (loop.now() - startedAt) / 1_000_000);
                 json.writeEndObject();
                 json.writeEndObject();
@@ -576,25 +604,28 @@
             return out.toByteArray();
         }
 
-        private void refuse(String why, boolean last) {
-            complaints.add("-ERR", "connection " + channel.tableIndex() + ": " + why);
-            if (last) {
-                // Danger: its client hears so at once, also in place of an answer that it waits for.
+        private void refuse(String reason, boolean close) {
+            warnings.add("-ERR", "connection " + channel.tableIndex() + ": " + reason);
+            if (close) {
+                // The error reply is sent at once, also in place of the reply to a pending PUSH.
                 abandonPush();
-                forgetWaiting();
-                lastWord(Replies.error(why));
+                discardQueued();
+                replyAndClose(Replies.error(reason));
             } else {
-                channel.write(Replies.error(why));
+                channel.write(Replies.error(reason));
             }
         }
 
-        /** Danger: a close over what is still unread would reset the connection, and the reply go with it. */
-        private void lastWord(byte[] reply) {
+        /**
+         * Sends a final reply and closes the connection after {@link #LINGER_MICROS}. Closing at once with unread
+         * input would reset the connection, and the client could lose the reply.
+         */
+        private void replyAndClose(byte[] reply) {
             ended = true;
-            loop.cancel(whole);
-            loop.cancel(silence);
+            loop.cancel(lineTimeout);
+            loop.cancel(closeTimeout);
             channel.writeAndLinger(reply);
-            silence = loop.at(loop.now() + LINGER, channel::close);
+            closeTimeout = loop.at(loop.now() + LINGER_MICROS, channel::close);
         }
 
         private void end() {
@@ -603,50 +634,50 @@
         }
 
         private void abandonPush() {
-            if (push != null) {
-                push.abandon();
-                push = null;
+            if (pendingPush != null) {
+                pendingPush.abandon();
+                pendingPush = null;
             }
         }
 
-        private void forgetWaiting() {
-            waiting.forEach(line -> room.release(line.size()));
-            waiting.clear();
+        private void discardQueued() {
+            queuedCommands.forEach(line -> memoryBudget.release(line.sizeBytes()));
+            queuedCommands.clear();
         }
 
         @Override
         public void closed() {
             ended = true;
             sessions.remove(this);
-            loop.cancel(silence);
-            loop.cancel(whole);
-            loop.cancel(fetch);
+            loop.cancel(closeTimeout);
+            loop.cancel(lineTimeout);
+            loop.cancel(fetchTimeout);
             abandonPush();
-            forgetWaiting();
-            if (member != null) {
-                member.worker.dropped(this);
-                member.sessions.remove(this);
-                if (member.sessions.isEmpty()) {
-                    members.remove(member.worker.wid);
-                    LOG.log(Level.INFO, "faktory worker {0} left", member.worker.wid);
-                    member.state = WorkerState.GONE;
-                    tell(member);
-                    member.worker.leave();
+            discardQueued();
+            if (registration != null) {
+                registration.worker.connectionLost(this);
+                registration.sessions.remove(this);
+                if (registration.sessions.isEmpty()) {
+                    registeredWorkers.remove(registration.worker.wid);
+                    LOG.log(Level.INFO, "faktory worker {0} left", registration.worker.wid);
+                    registration.state = WorkerState.GONE;
+                    publishState(registration);
+                    registration.worker.leave();
                 }
             }
         }
     }
 
-    /** A pushed job that waits for its one final answer. */
+    /** A pushed job whose reply is pending. */
     private final class Push implements ResponseHandler {
         private final Session session;
         private final String jid;
         private final boolean unsafe;
-        private final int size;
+        private final int sizeBytes;
         private long handle;
 
-        Push(Session session, String jid, boolean unsafe, int size) {
-            this.size = size;
+        Push(Session session, String jid, boolean unsafe, int sizeBytes) {
+            this.sizeBytes = sizeBytes;
             this.session = session;
             this.jid = jid;
             this.unsafe = unsafe;
@@ -654,21 +685,21 @@
 
         @Override
         public void served(byte[] result) {
-            processed++;
-            remember(true);
+            servedJobs++;
+            recordOutcome(true);
             answer(Replies.OK);
         }
 
         @Override
         public void refused(long waitMicros) {
-            failures++;
+            failedJobs++;
             answer(Replies.error(refusal(waitMicros)));
         }
 
         @Override
         public void failed() {
-            failures++;
-            remember(false);
+            failedJobs++;
+            recordOutcome(false);
             answer(Replies.error("failed: it may have run"));
         }
 
@@ -677,28 +708,31 @@
             return session.channel.isClosed() || session.channel.isReadLagging();
         }
 
-        private void remember(boolean served) {
+        private void recordOutcome(boolean served) {
             if (unsafe) {
                 servedByJid.put(jid, served);
             }
         }
 
         private void answer(byte[] reply) {
-            room.release(size);
-            session.push = null;
-            if (intake != IntakeMode.OPEN && session.member == null) {
-                session.lastWord(reply);
+            memoryBudget.release(sizeBytes);
+            session.pendingPush = null;
+            if (intake != IntakeMode.OPEN && session.registration == null) {
+                session.replyAndClose(reply);
             } else {
                 session.channel.write(reply);
-                loop.execute(session::next);
+                loop.execute(session::processQueued);
             }
         }
 
-        /** The client has left without waiting; whether it ran nobody will be told. */
+        /**
+         * Withdraws the job because its client has disconnected or its connection is being closed. The outcome is not
+         * reported to the client; if an unsafe job may have run, a repeated PUSH of it is answered with -ERR.
+         */
         void abandon() {
-            room.release(size);
+            memoryBudget.release(sizeBytes);
             if (core.withdraw(handle)) {
-                remember(false);
+                recordOutcome(false);
             }
         }
     }
--- a/src/main/java/gorserill/protocol/faktory/FaktoryJob.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktoryJob.java
@@ -14,53 +14,55 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A work unit of the protocol, as far as the node reads it. What a client may add under {@code custom}:
- * {@code remaining_ms}, {@code idempotency_key}, {@code slots}, {@code tenant}, {@code estimate_us}.
+ * The fields of a Faktory work unit that the node reads. Under {@code custom}, a client may add {@code remaining_ms},
+ * {@code idempotency_key}, {@code slots}, {@code tenant} and {@code estimate_us}.
  *
- * @param reserveFor seconds; 0 where not told
- * @param at when to run it; null for now
- * @param slots that it takes of a worker; -1 where not told
- * @param tenant whose job it is; null where not told
- * @param estimateUs a guess at its work, microseconds of a standard core; 0 for none
+ * @param reserveForSeconds time limit of a reservation; 0 if absent
+ * @param at the time at which the job is scheduled; null for immediately
+ * @param remainingMs time left until the job's deadline; -1 if absent
+ * @param idempotencyKey null if absent
+ * @param slots the number of worker slots that the job occupies; -1 if absent
+ * @param tenant the tenant to which the job belongs; null if absent
+ * @param estimateUs estimated work in microseconds of a standard core; 0 if absent
  */
 record FaktoryJob(
         String jid,
         String jobtype,
         String queue,
-        long reserveFor,
+        long reserveForSeconds,
         String at,
         long remainingMs,
         String idempotencyKey,
         double slots,
         String tenant,
         long estimateUs) {
-    /** The type of a body that is a whole work unit. */
+    /** Media type of a body that is a complete work unit. */
     static final String MEDIA_TYPE = "application/vnd.faktory.job+json";
 
     static final String DEFAULT_QUEUE = "default";
 
-    /** Danger: of a field that comes twice, node and worker might each take another. */
+    /** Rejects duplicate fields, because the node and the worker could read different values from them. */
     private static final JsonFactory JSON = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
-    /** Danger: these become headers of HTTP, where a line end would start a header of its own. */
-    private static final String IDENTIFIER = "[!-~]{8,128}";
+    /** Pattern of a jid. A jid becomes an HTTP header, so it must not contain line breaks, which would add headers. */
+    private static final String JID_PATTERN = "[!-~]{8,128}";
+    /** Pattern of an idempotency key, which becomes an HTTP header too. */
+    private static final String IDEMPOTENCY_KEY_PATTERN = "[!-~]{1,128}";
 
-    private static final String KEY = "[!-~]{1,128}";
-
-    /** @throws IOException which says what is missing or unreadable */
+    /** @throws IOException if the unit is malformed; the message names the field that is missing or invalid */
     static FaktoryJob parse(String text) throws IOException {
         String jid = null;
         String jobtype = null;
         String queue = DEFAULT_QUEUE;
-        boolean args = false;
-        long reserveFor = 0;
+        boolean hasArgs = false;
+        long reserveForSeconds = 0;
         String at = null;
-        long remaining = -1;
+        long remainingMs = -1;
         String key = null;
         double slots = -1;
         String tenant = null;
-        long estimate = 0;
+        long estimateUs = 0;
         try (JsonParser json = open(text)) {
             while (json.nextToken() != JsonToken.END_OBJECT) {
                 String field = json.currentName();
@@ -69,10 +71,10 @@
                     case "jid" -> jid = json.getValueAsString();
                     case "jobtype" -> jobtype = json.getValueAsString();
                     case "queue" -> queue = json.getValueAsString(DEFAULT_QUEUE);
-                    case "reserve_for" -> reserveFor = json.getValueAsLong();
+                    case "reserve_for" -> reserveForSeconds = json.getValueAsLong();
                     case "at" -> at = json.getValueAsString();
                     case "args" -> {
-                        args = value == JsonToken.START_ARRAY;
+                        hasArgs = value == JsonToken.START_ARRAY;
                         json.skipChildren();
                     }
                     case "custom" -> {
@@ -80,11 +82,11 @@
                             String name = json.currentName();
                             json.nextToken();
                             switch (name) {
-                                case "remaining_ms" -> remaining = remaining(json);
+                                case "remaining_ms" -> remainingMs = parseRemainingMs(json);
                                 case "idempotency_key" -> key = json.getValueAsString();
-                                case "slots" -> slots = slots(json);
+                                case "slots" -> slots = parseSlots(json);
                                 case "tenant" -> tenant = json.getValueAsString();
-                                case "estimate_us" -> estimate = estimate(json);
+                                case "estimate_us" -> estimateUs = parseEstimateUs(json);
                                 default -> json.skipChildren();
                             }
                         }
@@ -97,19 +99,19 @@
                 throw new IOException("more than one object");
             }
         }
-        if (jid == null || !jid.matches(IDENTIFIER)) {
+        if (jid == null || !jid.matches(JID_PATTERN)) {
             throw new IOException("jid must be 8 to 128 printable characters of ASCII");
-        } else if (key != null && !key.matches(KEY)) {
+        } else if (key != null && !key.matches(IDEMPOTENCY_KEY_PATTERN)) {
             throw new IOException("custom.idempotency_key must be 1 to 128 printable characters of ASCII");
         } else if (jobtype == null || jobtype.isEmpty()) {
             throw new IOException("jobtype is missing");
-        } else if (!args) {
+        } else if (!hasArgs) {
             throw new IOException("args must be a list");
         }
-        return new FaktoryJob(jid, jobtype, queue, reserveFor, at, remaining, key, slots, tenant, estimate);
+        return new FaktoryJob(jid, jobtype, queue, reserveForSeconds, at, remainingMs, key, slots, tenant, estimateUs);
     }
 
-    private static double slots(JsonParser json) throws IOException {
+    private static double parseSlots(JsonParser json) throws IOException {
         double slots = json.getValueAsDouble(1);
         if (!(slots >= 0 && slots < 1e6)) {
             throw new IOException("custom.slots is out of range");
@@ -117,7 +119,7 @@
         return slots;
     }
 
-    private static long estimate(JsonParser json) throws IOException {
+    private static long parseEstimateUs(JsonParser json) throws IOException {
         if (json.currentToken() != JsonToken.VALUE_NUMBER_INT
                 || json.getText().length() > 12
                 || json.getLongValue() < 0) {
@@ -126,8 +128,8 @@
         return json.getLongValue();
     }
 
-    /** The whole unit as a contract looks at it. */
-    static JsonNode value(String text) throws IOException {
+    /** Parses the complete unit for validation against a contract. */
+    static JsonNode parseTree(String text) throws IOException {
         try {
             return Check.parse(text.getBytes(StandardCharsets.UTF_8));
         } catch (Check.Unreadable e) {
@@ -135,16 +137,16 @@
         }
     }
 
-    private static long remaining(JsonParser json) throws IOException {
-        // Danger: a number that overflows, or is not above 0, would make a deadline of any kind.
+    private static long parseRemainingMs(JsonParser json) throws IOException {
+        // Rejects numbers that overflow or are not positive, because they would give an arbitrary deadline.
         if (json.currentToken() != JsonToken.VALUE_NUMBER_INT || json.getIntValue() <= 0) {
             throw new IOException("custom.remaining_ms must be a whole number above 0");
         }
         return json.getIntValue();
     }
 
-    /** A text field of an object, such as the jid of an ACK; null where it has none. */
-    static String field(String text, String name) throws IOException {
+    /** Returns a text field of a JSON object, such as the jid of an ACK; null if it is absent. */
+    static String textField(String text, String name) throws IOException {
         String found = null;
         try (JsonParser json = open(text)) {
             while (json.nextToken() != JsonToken.END_OBJECT) {
@@ -166,29 +168,29 @@
         return json;
     }
 
-    /** The work unit that a worker of this protocol gets for work of any origin. */
-    static byte[] unit(JobSpec work, String queue, String jobtype) {
-        if (MEDIA_TYPE.equals(work.contentType())) {
-            return work.body();
+    /** Encodes the work unit that a Faktory worker receives for a job, whichever protocol the job arrived by. */
+    static byte[] encodeWorkUnit(JobSpec spec, String queue, String jobtype) {
+        if (MEDIA_TYPE.equals(spec.contentType())) {
+            return spec.body();
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator json = JSON.createGenerator(out)) {
             json.writeStartObject();
-            json.writeStringField("jid", work.id());
+            json.writeStringField("jid", spec.id());
             json.writeStringField("queue", queue);
             json.writeStringField("jobtype", jobtype);
             json.writeArrayFieldStart("args");
-            json.writeString(new String(work.body(), StandardCharsets.UTF_8));
+            json.writeString(new String(spec.body(), StandardCharsets.UTF_8));
             json.writeEndArray();
-            // What fails here is the core's to try again: a worker must not do it on its own.
+            // The core alone decides on retries, so the worker must not schedule any.
             json.writeNumberField("retry", 0);
             json.writeObjectFieldStart("custom");
-            json.writeStringField("route", work.route());
-            if (work.contentType() != null) {
-                json.writeStringField("content_type", work.contentType());
+            json.writeStringField("route", spec.route());
+            if (spec.contentType() != null) {
+                json.writeStringField("content_type", spec.contentType());
             }
-            if (work.idempotencyKey() != null) {
-                json.writeStringField("idempotency_key", work.idempotencyKey());
+            if (spec.idempotencyKey() != null) {
+                json.writeStringField("idempotency_key", spec.idempotencyKey());
             }
             json.writeEndObject();
             json.writeEndObject();
--- a/src/main/java/gorserill/protocol/faktory/FaktorySettings.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktorySettings.java
@@ -8,14 +8,15 @@
 import java.util.Map;
 
 /**
- * What the Faktory front goes by.
+ * Settings of the Faktory frontend.
  *
- * @param password empty for none
- * @param queues the class of each queue, by name
- * @param jobtypes the class of each job type; it goes before the queue's
- * @param classNames the settings' classes, by place
- * @param classes their terms, by name
- * @param contract that jobs are held against; null for none
+ * @param listen the address on which it accepts connections
+ * @param password empty if none is required
+ * @param queues class names by queue name
+ * @param jobtypes class names by job type; they take precedence over those of the queue
+ * @param classNames names of the configured classes, by class index
+ * @param classes properties of the classes, by class name
+ * @param contract the contract against which jobs are validated; null for none
  */
 public record FaktorySettings(
         InetSocketAddress listen,
@@ -27,28 +28,33 @@
         Contract contract) {
 
     /**
-     * The class of a job, or null.
+     * Returns the class of a job, or null if neither its job type nor its queue is bound to one.
      *
-     * @param described what its contract says; null where that says nothing
+     * @param contractClass the class name that the contract gives, which takes precedence over that of the queue; null
+     *     if the contract gives none
      */
-    JobClassInfo classOf(FaktoryJob job, String described) {
-        String queued = described == null ? queues.get(job.queue()) : described;
-        String name = jobtypes.getOrDefault(job.jobtype(), queued);
+    JobClassInfo classOf(FaktoryJob job, String contractClass) {
+        String fallback = contractClass == null ? queues.get(job.queue()) : contractClass;
+        String name = jobtypes.getOrDefault(job.jobtype(), fallback);
         return name == null ? null : classes.get(name);
     }
 
-    /** The queue for work of a class that came by another road: the first bound to it, or its own name. */
+    /**
+     * Returns the queue name for a job that was not pushed over Faktory: the first queue bound to its class, or the
+     * name of the class if there is none.
+     */
     String queueFor(int jobClass) {
-        return first(queues, jobClass);
+        return firstBoundTo(queues, jobClass);
     }
 
+    /** Returns the job type for a job that was not pushed over Faktory, by the same rule as {@link #queueFor}. */
     String jobtypeFor(int jobClass) {
-        return first(jobtypes, jobClass);
+        return firstBoundTo(jobtypes, jobClass);
     }
 
-    private String first(Map<String, String> bound, int jobClass) {
+    private String firstBoundTo(Map<String, String> bindings, int jobClass) {
         String name = classNames.get(jobClass);
-        for (Map.Entry<String, String> entry : new LinkedHashMap<>(bound).entrySet()) {
+        for (Map.Entry<String, String> entry : new LinkedHashMap<>(bindings).entrySet()) {
             if (entry.getValue().equals(name)) {
                 return entry.getKey();
             }
--- a/src/main/java/gorserill/protocol/faktory/FaktoryWorker.java
+++ b/src/main/java/gorserill/protocol/faktory/FaktoryWorker.java
@@ -25,35 +25,38 @@
 import java.util.logging.Logger;
 
 /**
- * A worker process of the protocol, one {@code wid} over all its connections. A waiting FETCH is a free slot;
- * a job handed out is reserved until ACK, FAIL, the drop of its connection or the end of its time.
+ * A Faktory worker process, identified by its {@code wid} across all of its connections. Each pending FETCH counts as
+ * a free slot. A job that was sent to the worker is reserved until ACK, FAIL, the loss of its connection or the end of
+ * its reservation time.
  */
 final class FaktoryWorker implements WorkerPort {
     private static final Logger LOG = Logger.getLogger(FaktoryWorker.class.getName());
-    private static final byte[] NOTHING = {};
-    /** A job waits so long for a FETCH before it goes back to the core, unstarted. */
-    private static final long PATIENCE = 500_000;
+    private static final byte[] EMPTY_RESULT = {};
+    /** How long a job waits for a FETCH before it is returned to the core, not started. */
+    private static final long MAX_WAIT_MICROS = 500_000;
 
-    /** Whoever asked for a job, a connection of this worker's. */
+    /** A connection of this worker that has a pending FETCH. */
     interface Fetcher {
+        /** The queues named by the FETCH, in order of preference. */
         List<String> queues();
 
-        /** Runs it on the loop's thread once it is known which clients have gone. */
-        void afterReads(Runnable then);
+        /** Runs the task on the loop's thread after pending reads, which show the clients that have disconnected. */
+        void runAfterReads(Runnable task);
 
         /**
-         * Gives what tells whether the unit's last byte was written.
+         * Sends the work unit to the worker and returns whether its last byte has been written so far.
          *
-         * @param written is told so as well, on whichever thread
+         * @param onWritten called on any thread once the last byte has been written
          */
-        BooleanSupplier handOut(byte[] unit, Runnable written);
+        BooleanSupplier send(byte[] unit, Runnable onWritten);
     }
 
+    /** A job that was sent to the worker and has no result yet. */
     private static final class Reservation {
         final Attempt attempt;
         final Fetcher holder;
-        BooleanSupplier written;
-        Deadline end;
+        BooleanSupplier isWritten;
+        Deadline timeout;
 
         Reservation(Attempt attempt, Fetcher holder) {
             this.attempt = attempt;
@@ -61,108 +64,111 @@
         }
     }
 
-    private static final class Waiting {
+    /** A job that waits for a FETCH of its queue. */
+    private static final class WaitingJob {
         final Attempt attempt;
-        final JobSpec work;
+        final JobSpec spec;
         final String queue;
-        final long reserveFor;
-        Deadline end;
+        final long reserveForSeconds;
+        Deadline timeout;
 
-        Waiting(Attempt attempt, JobSpec work, String queue, long reserveFor) {
+        WaitingJob(Attempt attempt, JobSpec spec, String queue, long reserveForSeconds) {
             this.attempt = attempt;
-            this.work = work;
+            this.spec = spec;
             this.queue = queue;
-            this.reserveFor = reserveFor;
+            this.reserveForSeconds = reserveForSeconds;
         }
     }
 
     final String wid;
     final long id;
     private final Loop loop;
-    private final Supplier<FaktorySettings> terms;
+    private final Supplier<FaktorySettings> settings;
     private final Deque<Fetcher> fetchers = new ArrayDeque<>();
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
+    private final Deque<WaitingJob> waiting = new ArrayDeque<>();
     private final Map<String, Reservation> reservations = new HashMap<>();
-    /** Jobs that the node has given up while this worker had them: its word on them changes nothing. */
-    private final Set<String> givenUp = new HashSet<>();
+    /** Jids of jobs abandoned by the node while this worker held them; a later ACK or FAIL for them is ignored. */
+    private final Set<String> abandoned = new HashSet<>();
 
-    private int mostSlots = 1;
-    private boolean gone;
+    /** The largest number of slots seen so far: pending FETCHes plus reservations. */
+    private int maxSlots = 1;
 
-    /** @param terms those in force at the moment */
-    FaktoryWorker(Loop loop, Supplier<FaktorySettings> terms, String wid, long id) {
+    private boolean left;
+
+    /** @param settings supplies the settings currently in force */
+    FaktoryWorker(Loop loop, Supplier<FaktorySettings> settings, String wid, long id) {
         this.loop = loop;
-        this.terms = terms;
+        this.settings = settings;
         this.wid = wid;
         this.id = id;
     }
 
-    // ---- from the core ----
+    // ---- called by the core ----
 
     @Override
-    public void start(Attempt attempt, JobSpec work, long expires) {
-        String jid = work.id();
-        // A word on a job is told apart by its jid alone, so a worker holds no two jobs of one.
-        if (gone || reservations.containsKey(jid) || givenUp.contains(jid) || waiting.size() >= mostSlots) {
-            loop.execute(() -> attempt.ended(Outcome.REJECTED, null, free(0)));
+    public void start(Attempt attempt, JobSpec spec, long expires) {
+        String jid = spec.id();
+        // ACK and FAIL identify a job by its jid only, so a worker must not hold two jobs with the same jid.
+        if (left || reservations.containsKey(jid) || abandoned.contains(jid) || waiting.size() >= maxSlots) {
+            loop.execute(() -> attempt.ended(Outcome.REJECTED, null, freeSlots(0)));
             return;
         }
-        Waiting next = waiting(attempt, work);
+        WaitingJob next = toWaitingJob(attempt, spec);
         waiting.add(next);
-        next.end = loop.at(Math.min(expires, loop.now() + PATIENCE), () -> {
+        next.timeout = loop.at(Math.min(expires, loop.now() + MAX_WAIT_MICROS), () -> {
             waiting.remove(next);
-            attempt.ended(Outcome.REJECTED, null, free(0));
+            attempt.ended(Outcome.REJECTED, null, freeSlots(0));
         });
         match();
     }
 
     @Override
     public boolean abort(Attempt attempt) {
-        for (Iterator<Waiting> all = waiting.iterator(); all.hasNext(); ) {
-            Waiting next = all.next();
+        for (Iterator<WaitingJob> all = waiting.iterator(); all.hasNext(); ) {
+            WaitingJob next = all.next();
             if (next.attempt == attempt) {
-                loop.cancel(next.end);
+                loop.cancel(next.timeout);
                 all.remove();
                 return true;
             }
         }
-        Reservation held = reservations.get(attempt.requestId());
-        if (held == null || held.attempt != attempt) {
+        Reservation reservation = reservations.get(attempt.requestId());
+        if (reservation == null || reservation.attempt != attempt) {
             return true;
         }
         reservations.remove(attempt.requestId());
-        loop.cancel(held.end);
-        givenUp.add(attempt.requestId());
+        loop.cancel(reservation.timeout);
+        abandoned.add(attempt.requestId());
         return false;
     }
 
-    // ---- from the worker's connections ----
+    // ---- called by the worker's connections ----
 
     void fetch(Fetcher fetcher) {
         fetchers.add(fetcher);
-        mostSlots = Math.max(mostSlots, fetchers.size() + reservations.size());
+        maxSlots = Math.max(maxSlots, fetchers.size() + reservations.size());
         match();
     }
 
-    /** Danger: a client may have closed its connection, and that may not have been read yet. */
+    /** Assigns waiting jobs after pending reads, because one of them may show that a job's client has disconnected. */
     private void match() {
         if (!waiting.isEmpty() && !fetchers.isEmpty()) {
-            fetchers.peek().afterReads(this::handOut);
+            fetchers.peek().runAfterReads(this::assignWaiting);
         }
     }
 
-    /** Whoever asked first gets the first that waits in its queues, in the order in which it named them. */
-    private void handOut() {
+    /** Serves the FETCHes in order of arrival; each takes the first waiting job of its queues, in their named order. */
+    private void assignWaiting() {
         for (Fetcher fetcher : List.copyOf(fetchers)) {
-            for (Waiting next = firstFor(fetcher); next != null && !reserve(next, fetcher); ) {
+            for (WaitingJob next = firstFor(fetcher); next != null && !reserve(next, fetcher); ) {
                 next = firstFor(fetcher);
             }
         }
     }
 
-    private Waiting firstFor(Fetcher fetcher) {
+    private WaitingJob firstFor(Fetcher fetcher) {
         for (String queue : fetcher.queues()) {
-            for (Waiting next : waiting) {
+            for (WaitingJob next : waiting) {
                 if (next.queue.equals(queue)) {
                     return next;
                 }
@@ -171,13 +177,13 @@
         return null;
     }
 
-    /** The fetcher asks no more; gives whether it was still waiting. */
-    boolean unfetch(Fetcher fetcher) {
+    /** Cancels a pending FETCH; returns whether there was one. */
+    boolean cancelFetch(Fetcher fetcher) {
         return fetchers.remove(fetcher);
     }
 
     void ack(String jid) {
-        settle(jid, Outcome.SERVED, NOTHING);
+        settle(jid, Outcome.SERVED, EMPTY_RESULT);
     }
 
     void fail(String jid) {
@@ -185,94 +191,97 @@
     }
 
     private void settle(String jid, Outcome outcome, byte[] result) {
-        Reservation held = reservations.remove(jid);
-        if (held == null) {
+        Reservation reservation = reservations.remove(jid);
+        if (reservation == null) {
             LOG.log(Level.INFO, "faktory worker {0}: late word on job {1}: {2}; nothing changes", new Object[] {
                 wid, jid, outcome
             });
-            givenUp.remove(jid);
+            abandoned.remove(jid);
             return;
         }
-        loop.cancel(held.end);
-        held.attempt.ended(outcome, result, free(1));
+        loop.cancel(reservation.timeout);
+        reservation.attempt.ended(outcome, result, freeSlots(1));
     }
 
-    /** A connection dropped: what was handed out on it may have run. */
-    void dropped(Fetcher holder) {
-        unfetch(holder);
+    /**
+     * Ends the reservations of a lost connection. A job whose unit was not completely written has not run; any other
+     * may have run.
+     */
+    void connectionLost(Fetcher holder) {
+        cancelFetch(holder);
         for (String jid : List.copyOf(reservations.keySet())) {
             if (reservations.get(jid).holder == holder) {
-                Reservation lost = reservations.remove(jid);
-                loop.cancel(lost.end);
-                givenUp.add(jid);
-                boolean never = !lost.written.getAsBoolean();
-                lost.attempt.ended(never ? Outcome.CONNECT_FAILED : Outcome.RESET, null, Load.NONE);
+                Reservation reservation = reservations.remove(jid);
+                loop.cancel(reservation.timeout);
+                abandoned.add(jid);
+                boolean neverSent = !reservation.isWritten.getAsBoolean();
+                reservation.attempt.ended(neverSent ? Outcome.CONNECT_FAILED : Outcome.RESET, null, Load.NONE);
             }
         }
     }
 
-    /** The worker has left; what waits for it was never handed out. */
+    /** Called when the worker's last connection has closed. Jobs that still wait were never sent to it. */
     void leave() {
-        gone = true;
-        giveBack(Outcome.CONNECT_FAILED);
+        left = true;
+        returnWaiting(Outcome.CONNECT_FAILED);
     }
 
-    /** It gets no more, and ends what it has. */
+    /** Returns all waiting jobs to the core; jobs that the worker holds run to their end. */
     @Override
     public void outOfService() {
-        giveBack(Outcome.NOT_SENT);
+        returnWaiting(Outcome.NOT_SENT);
     }
 
-    private void giveBack(Outcome outcome) {
-        for (Waiting next : new ArrayList<>(waiting)) {
-            loop.cancel(next.end);
+    private void returnWaiting(Outcome outcome) {
+        for (WaitingJob next : new ArrayList<>(waiting)) {
+            loop.cancel(next.timeout);
             next.attempt.ended(outcome, null, Load.NONE);
         }
         waiting.clear();
     }
 
-    /** Hands a job out; false, and it is given back, where it may no longer begin. */
-    private boolean reserve(Waiting next, Fetcher fetcher) {
+    /** Sends a job to the worker. If the attempt may no longer begin, returns it to the core and returns false. */
+    private boolean reserve(WaitingJob next, Fetcher fetcher) {
         waiting.remove(next);
-        loop.cancel(next.end);
+        loop.cancel(next.timeout);
         if (!next.attempt.tryBegin()) {
-            loop.execute(() -> next.attempt.ended(Outcome.NOT_SENT, null, free(0)));
+            loop.execute(() -> next.attempt.ended(Outcome.NOT_SENT, null, freeSlots(0)));
             return false;
         }
         fetchers.remove(fetcher);
-        Reservation held = new Reservation(next.attempt, fetcher);
-        String jid = next.work.id();
-        reservations.put(jid, held);
-        mostSlots = Math.max(mostSlots, fetchers.size() + reservations.size());
-        if (next.reserveFor > 0) {
-            held.end = loop.at(loop.now() + next.reserveFor * 1_000_000, () -> {
+        Reservation reservation = new Reservation(next.attempt, fetcher);
+        String jid = next.spec.id();
+        reservations.put(jid, reservation);
+        maxSlots = Math.max(maxSlots, fetchers.size() + reservations.size());
+        if (next.reserveForSeconds > 0) {
+            reservation.timeout = loop.at(loop.now() + next.reserveForSeconds * 1_000_000, () -> {
                 reservations.remove(jid);
-                givenUp.add(jid);
-                held.attempt.ended(Outcome.TIMEOUT, null, Load.NONE);
+                abandoned.add(jid);
+                reservation.attempt.ended(Outcome.TIMEOUT, null, Load.NONE);
             });
         }
-        held.written = fetcher.handOut(
-                FaktoryJob.unit(next.work, next.queue, terms.get().jobtypeFor(next.work.jobClass())),
+        reservation.isWritten = fetcher.send(
+                FaktoryJob.encodeWorkUnit(next.spec, next.queue, settings.get().jobtypeFor(next.spec.jobClass())),
                 next.attempt::written);
-        // An event of its own: the core may be in the middle of a call.
+        // Posted as a separate event, because the core may be on the call stack.
         loop.execute(next.attempt::started);
         return true;
     }
 
-    private Waiting waiting(Attempt attempt, JobSpec work) {
-        if (FaktoryJob.MEDIA_TYPE.equals(work.contentType())) {
+    private WaitingJob toWaitingJob(Attempt attempt, JobSpec spec) {
+        if (FaktoryJob.MEDIA_TYPE.equals(spec.contentType())) {
             try {
-                FaktoryJob job = FaktoryJob.parse(new String(work.body(), StandardCharsets.UTF_8));
-                return new Waiting(attempt, work, job.queue(), job.reserveFor());
+                FaktoryJob job = FaktoryJob.parse(new String(spec.body(), StandardCharsets.UTF_8));
+                return new WaitingJob(attempt, spec, job.queue(), job.reserveForSeconds());
             } catch (IOException e) {
-                throw new UncheckedIOException("a unit that was read before", e);
+                throw new UncheckedIOException("a work unit that parsed on PUSH no longer parses", e);
             }
         }
-        return new Waiting(attempt, work, terms.get().queueFor(work.jobClass()), 0);
+        return new WaitingJob(attempt, spec, settings.get().queueFor(spec.jobClass()), 0);
     }
 
-    /** Waiting FETCHes are free slots; one that just finished will ask again. */
-    private Load free(int finished) {
+    /** Reports pending FETCHes as free slots, plus finished jobs, since their slots will send FETCH again. */
+    private Load freeSlots(int finished) {
         return new Load(fetchers.size() + finished, Double.NaN);
     }
 }
--- a/src/main/java/gorserill/protocol/faktory/Replies.java
+++ b/src/main/java/gorserill/protocol/faktory/Replies.java
@@ -2,13 +2,13 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** The server's side of the protocol, as bytes. */
+/** Encodes the replies of the Faktory protocol, which uses the RESP format of Redis. */
 final class Replies {
     static final byte[] OK = "+OK\r\n".getBytes(StandardCharsets.UTF_8);
-    /** No job, or nothing to say. */
+    /** Null bulk string: the reply to a FETCH when no job is available. */
     static final byte[] NULL = "$-1\r\n".getBytes(StandardCharsets.UTF_8);
 
-    /** The answer to a BEAT that tells a worker to end. */
+    /** Reply to a BEAT that asks the worker to terminate. */
     static final byte[] TERMINATE = bulk("{\"state\":\"terminate\"}".getBytes(StandardCharsets.UTF_8));
 
     private Replies() {}
@@ -17,18 +17,18 @@
         return ("+" + text + "\r\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    static byte[] error(String why) {
-        String line = why.replace('\r', ' ').replace('\n', ' ');
+    static byte[] error(String reason) {
+        String line = reason.replace('\r', ' ').replace('\n', ' ');
         return ("-ERR " + line + "\r\n").getBytes(StandardCharsets.UTF_8);
     }
 
     static byte[] bulk(byte[] body) {
-        byte[] start = ("$" + body.length + "\r\n").getBytes(StandardCharsets.UTF_8);
-        byte[] all = new byte[start.length + body.length + 2];
-        System.arraycopy(start, 0, all, 0, start.length);
-        System.arraycopy(body, 0, all, start.length, body.length);
-        all[all.length - 2] = '\r';
-        all[all.length - 1] = '\n';
-        return all;
+        byte[] header = ("$" + body.length + "\r\n").getBytes(StandardCharsets.UTF_8);
+        byte[] reply = new byte[header.length + body.length + 2];
+        System.arraycopy(header, 0, reply, 0, header.length);
+        System.arraycopy(body, 0, reply, header.length, body.length);
+        reply[reply.length - 2] = '\r';
+        reply[reply.length - 1] = '\n';
+        return reply;
     }
 }
