--- a/src/main/java/gorserill/program/Maintenance.java
+++ b/src/main/java/gorserill/program/Maintenance.java
@@ -1,7 +1,7 @@
 package gorserill.program;
 
 import gorserill.common.Loop;
-import gorserill.protocol.faktory.FaktoryFront;
+import gorserill.protocol.faktory.FaktoryFrontend;
 import java.io.IOException;
 import java.util.Set;
 import java.util.logging.Level;
@@ -16,10 +16,10 @@
     private final Loop loop;
     private final Bans bans;
     private final WorkerDirectory workers;
-    private final FaktoryFront faktory;
+    private final FaktoryFrontend faktory;
 
     /** @param faktory null where the Faktory front end is disabled */
-    Maintenance(Loop loop, Bans bans, WorkerDirectory workers, FaktoryFront faktory) {
+    Maintenance(Loop loop, Bans bans, WorkerDirectory workers, FaktoryFrontend faktory) {
         this.loop = loop;
         this.bans = bans;
         this.workers = workers;
@@ -37,7 +37,7 @@
         // Another process may have changed the ban since the last poll; on stale bans this call could wrongly do
         // nothing.
         apply(bans.refresh());
-        boolean known = workers.isKnown(worker) || faktory != null && faktory.knows(worker);
+        boolean known = workers.isKnown(worker) || faktory != null && faktory.hasWorker(worker);
         if (!known && !(bans.contains(worker) && !banned)) {
             return worker.isEmpty() ? "no worker is named" : "no such worker was ever listed";
         }
--- a/src/main/java/gorserill/program/Node.java
+++ b/src/main/java/gorserill/program/Node.java
@@ -13,7 +13,7 @@
 import gorserill.protocol.discovery.CallPace;
 import gorserill.protocol.discovery.WorkerListing;
 import gorserill.protocol.faktory.FaktoryCodec;
-import gorserill.protocol.faktory.FaktoryFront;
+import gorserill.protocol.faktory.FaktoryFrontend;
 import gorserill.protocol.http.HttpCodec;
 import gorserill.protocol.http.HttpFrontend;
 import gorserill.protocol.http.HttpWatch;
@@ -66,7 +66,7 @@
     /** Null if no messages are exchanged with other nodes. */
     private volatile PeerPort peers;
 
-    private FaktoryFront faktoryFront;
+    private FaktoryFrontend faktoryFront;
     /** Null if the node is not a member of a cluster. */
     private ClusterPart cluster;
 
@@ -147,7 +147,7 @@
                 loop, Logger.getLogger(ContractGate.class.getName()), "workers' answers not as described");
         Tenants tenants = new Tenants(config.tenantNames);
         if (config.faktory != null) {
-            faktoryFront = new FaktoryFront(
+            faktoryFront = new FaktoryFrontend(
                     loop,
                     core,
                     config.faktory,
--- a/src/main/java/gorserill/program/NodeConfig.java
+++ b/src/main/java/gorserill/program/NodeConfig.java
@@ -11,7 +11,7 @@
 import gorserill.contract.JobRule;
 import gorserill.protocol.JobClassInfo;
 import gorserill.protocol.discovery.WorkerListing;
-import gorserill.protocol.faktory.FaktoryTerms;
+import gorserill.protocol.faktory.FaktorySettings;
 import gorserill.protocol.http.LoadFieldNames;
 import gorserill.protocol.peers.PeerPort;
 import gorserill.transport.Transport;
@@ -76,7 +76,7 @@
     /** The workers' own limit on idle connections. */
     final long connectionIdleMicros;
     /** Null if the Faktory front end is disabled. */
-    final FaktoryTerms faktory;
+    final FaktorySettings faktory;
     /** Null if the node is not a member of a cluster. */
     final ClusterConfig cluster;
     /** The HTTP front end's contract; if null, its paths are the class names. */
--- a/src/main/java/gorserill/program/NodeMetrics.java
+++ b/src/main/java/gorserill/program/NodeMetrics.java
@@ -2,7 +2,7 @@
 
 import gorserill.common.Loop;
 import gorserill.protocol.discovery.WatchStatistics;
-import gorserill.protocol.faktory.FaktoryFront;
+import gorserill.protocol.faktory.FaktoryFrontend;
 import gorserill.routing.Core;
 import gorserill.routing.HoldReason;
 import gorserill.routing.JobStatistics;
@@ -17,7 +17,7 @@
     private final List<String> classNames;
     private final Core core;
     private final WorkerDirectory workers;
-    private final FaktoryFront faktory;
+    private final FaktoryFrontend faktory;
     private final Loop loop;
     private final WatchStatistics watch;
     private long reloads;
@@ -28,7 +28,7 @@
             List<String> classNames,
             Core core,
             WorkerDirectory workers,
-            FaktoryFront faktory,
+            FaktoryFrontend faktory,
             Loop loop,
             WatchStatistics watch) {
         this.loop = loop;
@@ -59,8 +59,8 @@
         }
         append(text, "backend_calls_total", statistics.attempts());
         append(text, "inflight", core.openRequests());
-        append(text, "hosts_listed", workers.listedCount() + (faktory == null ? 0 : faktory.workers()));
-        append(text, "hosts_down", workers.avoidedCount() + (faktory == null ? 0 : faktory.avoided()));
+        append(text, "hosts_listed", workers.listedCount() + (faktory == null ? 0 : faktory.workerCount()));
+        append(text, "hosts_down", workers.avoidedCount() + (faktory == null ? 0 : faktory.avoidedWorkerCount()));
         append(text, "reconfig_ok_total", reloads);
         append(text, "reconfig_failed_total", failedReloads);
         return text.append(END_MARKER).toString();
