--- a/src/main/java/gorserill/program/Main.java
+++ b/src/main/java/gorserill/program/Main.java
@@ -1,8 +1,8 @@
 package gorserill.program;
 
 import gorserill.program.command.ContractCommand;
-import gorserill.program.command.Gorserill;
-import gorserill.program.command.Gorserill.Brought;
+import gorserill.program.command.GorserillCommand;
+import gorserill.program.command.GorserillCommand.ExternalCommand;
 import gorserill.program.demo.Demo;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -14,7 +14,7 @@
 
 /**
  * Where the program begins: {@code serve} runs a node, {@code adapter} its decisions on the simulator's wire,
- * {@code rehearse} a node's start for the build; all else is the command line's ({@link Gorserill}).
+ * {@code rehearse} a node's start for the build; all else is the command line's ({@link GorserillCommand}).
  */
 public final class Main {
     private static final Logger LOG = Logger.getLogger(Main.class.getName());
@@ -32,15 +32,16 @@
             case "rehearse" -> System.exit(rehearse());
             case "adapter" -> System.exit(adapter());
             default ->
-                System.exit(Gorserill.execute(
+                System.exit(GorserillCommand.execute(
                         args,
-                        new Brought("serve", "Runs a node, as NODE_CONFIG says.", Main::serve),
-                        new Brought(
+                        new ExternalCommand("serve", "Runs a node, as NODE_CONFIG says.", Main::serve),
+                        new ExternalCommand(
                                 "demo",
                                 "Runs a node with workers on this machine, and shows what becomes of jobs.",
                                 Main::demo),
-                        new Brought("adapter", "Runs the decisions on the simulator's wire.", Main::adapter),
-                        new Brought("rehearse", "Runs a node's start, for the archive of classes.", Main::rehearse)));
+                        new ExternalCommand("adapter", "Runs the decisions on the simulator's wire.", Main::adapter),
+                        new ExternalCommand(
+                                "rehearse", "Runs a node's start, for the archive of classes.", Main::rehearse)));
         }
     }
 
--- a/src/main/java/gorserill/program/command/ContractCommand.java
+++ b/src/main/java/gorserill/program/command/ContractCommand.java
@@ -42,11 +42,11 @@
         name = "contract",
         description = "Checks, shows and compares OpenAPI and AsyncAPI descriptions.",
         subcommands = {
-            ContractCommand.Check.class,
-            ContractCommand.Show.class,
-            ContractCommand.Match.class,
-            ContractCommand.Diff.class,
-            ContractCommand.ExportTo.class
+            ContractCommand.CheckCommand.class,
+            ContractCommand.ShowCommand.class,
+            ContractCommand.MatchCommand.class,
+            ContractCommand.DiffCommand.class,
+            ContractCommand.ExportCommand.class
         },
         mixinStandardHelpOptions = true)
 public final class ContractCommand implements Runnable {
@@ -69,7 +69,7 @@
 
     /** What the commands have in common. */
     @Command(mixinStandardHelpOptions = true)
-    abstract static class Base implements Callable<Integer> {
+    abstract static class ContractSubcommand implements Callable<Integer> {
         @Spec
         protected CommandSpec spec;
 
@@ -110,7 +110,7 @@
     }
 
     /** With the settings of a node, where the command can go without. */
-    abstract static class WithSettings extends Base {
+    abstract static class SettingsSubcommand extends ContractSubcommand {
         @Option(
                 names = "--settings",
                 paramLabel = "FILE",
@@ -119,7 +119,7 @@
     }
 
     @Command(name = "check", description = "Tells all that is wrong; exit status 0 if nothing is, else 1.")
-    static final class Check extends WithSettings {
+    static final class CheckCommand extends SettingsSubcommand {
         @Parameters(arity = "1..*", paramLabel = "FILE")
         private List<Path> files;
 
@@ -162,7 +162,7 @@
     }
 
     @Command(name = "show", description = "Tells of each operation what was learned, and from where.")
-    static final class Show extends WithSettings {
+    static final class ShowCommand extends SettingsSubcommand {
         @Parameters(paramLabel = "FILE")
         private Path file;
 
@@ -248,7 +248,7 @@
             name = "diff",
             description =
                     "Tells each change as compatible or breaking; exit status 0 if none is" + " breaking, else 1.")
-    static final class Diff extends WithSettings {
+    static final class DiffCommand extends SettingsSubcommand {
         @Parameters(index = "0", paramLabel = "OLD")
         private Path before;
 
@@ -294,7 +294,7 @@
     }
 
     @Command(name = "export", description = "Makes the descriptions of a node's own fronts from its settings.")
-    static final class ExportTo extends Base {
+    static final class ExportCommand extends ContractSubcommand {
         @Option(
                 names = "--settings",
                 paramLabel = "FILE",
@@ -333,7 +333,7 @@
                 "For AsyncAPI say MESSAGE for the method and the queue for the path; headers"
                         + " are then fields of the message's header object."
             })
-    static final class Match extends WithSettings {
+    static final class MatchCommand extends SettingsSubcommand {
         @Parameters(index = "0", paramLabel = "FILE")
         private Path file;
 
--- a/src/main/java/gorserill/program/command/Gorserill.java
+++ b/src/main/java/gorserill/program/command/GorserillCommand.java
@@ -21,7 +21,7 @@
             ScaleCommand.class,
             HelpCommand.class
         })
-public final class Gorserill implements Runnable {
+public final class GorserillCommand implements Runnable {
     @Spec
     private CommandSpec spec;
 
@@ -32,22 +32,22 @@
 
     /** A command that is carried out elsewhere and takes nothing. */
     @Command(mixinStandardHelpOptions = true)
-    private record Plain(Callable<Integer> what) implements Callable<Integer> {
+    private record DelegatingCommand(Callable<Integer> action) implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
-            return what.call();
+            return action.call();
         }
     }
 
     /** A command that the program brings, by its name and in a few words. */
-    public record Brought(String name, String words, Callable<Integer> what) {}
+    public record ExternalCommand(String name, String description, Callable<Integer> action) {}
 
     /** Carries out a command line; gives the exit status. */
-    public static int execute(String[] args, Brought... brought) {
-        CommandLine line = new CommandLine(new Gorserill());
-        for (Brought one : brought) {
-            CommandLine plain = new CommandLine(new Plain(one.what));
-            plain.getCommandSpec().usageMessage().description(one.words);
+    public static int execute(String[] args, ExternalCommand... brought) {
+        CommandLine line = new CommandLine(new GorserillCommand());
+        for (ExternalCommand one : brought) {
+            CommandLine plain = new CommandLine(new DelegatingCommand(one.action));
+            plain.getCommandSpec().usageMessage().description(one.description);
             line.addSubcommand(one.name, plain);
         }
         return line.execute(args);
--- a/src/main/java/gorserill/program/demo/Demo.java
+++ b/src/main/java/gorserill/program/demo/Demo.java
@@ -1,7 +1,7 @@
 package gorserill.program.demo;
 
-import gorserill.program.demo.StandInWorker.Kind;
-import gorserill.program.demo.StandInWorker.Reaction;
+import gorserill.program.demo.FakeHttpWorker.Kind;
+import gorserill.program.demo.FakeHttpWorker.Reaction;
 import gorserill.transport.ReservedPort;
 import java.io.IOException;
 import java.io.InputStream;
@@ -31,13 +31,13 @@
 
     /** Starts a node; gives what ends it. */
     @FunctionalInterface
-    public interface NodeStart {
+    public interface NodeLauncher {
         AutoCloseable start(Map<String, String> environment) throws Exception;
     }
 
     /** Writes the exported descriptions of a configuration into a folder. */
     @FunctionalInterface
-    public interface Exporter {
+    public interface ContractExporter {
         void export(Path settings, Path folder) throws Exception;
     }
 
@@ -57,17 +57,18 @@
      *
      * @param out what is told goes here
      */
-    public static void run(PrintStream out, NodeStart node, Exporter exporter, Runnable until) throws Exception {
+    public static void run(PrintStream out, NodeLauncher node, ContractExporter exporter, Runnable until)
+            throws Exception {
         new Demo(out).play(node, exporter, until);
     }
 
-    private void play(NodeStart node, Exporter exporter, Runnable until) throws Exception {
-        List<StandInWorker> workers = new ArrayList<>();
-        Map<String, Integer> runs = StandInWorker.counts();
-        try (StandInDiscovery discovery = new StandInDiscovery()) {
+    private void play(NodeLauncher node, ContractExporter exporter, Runnable until) throws Exception {
+        List<FakeHttpWorker> workers = new ArrayList<>();
+        Map<String, Integer> runs = FakeHttpWorker.newRunCounts();
+        try (FakeDiscovery discovery = new FakeDiscovery()) {
             for (int w = 1; w <= WORKERS; w++) {
                 String name = "worker-" + w;
-                workers.add(new StandInWorker(
+                workers.add(new FakeHttpWorker(
                         name,
                         runs,
                         job -> new Reaction(
@@ -77,7 +78,7 @@
                                 job.lane().equals("historial") ? 200 : 30,
                                 "\"" + job.lane() + " done by " + name + "\"")));
             }
-            discovery.list(workers);
+            discovery.setWorkers(workers);
             Path settings = folder.resolve("node.json");
             try (InputStream text = Demo.class.getResourceAsStream("/gorserill/program/demo.json")) {
                 Files.writeString(
@@ -88,7 +89,7 @@
                                 .replace("DISCOVERY", "" + discovery.address().getPort())
                                 .replace(
                                         "\"endpoints\": []",
-                                        "\"endpoints\": [" + StandInDiscovery.entries(workers) + "]"));
+                                        "\"endpoints\": [" + FakeDiscovery.endpointEntries(workers) + "]"));
             }
             exporter.export(settings, folder);
             Path faktoryFile = folder.resolve("faktory.json");
@@ -108,7 +109,7 @@
                 until.run();
             }
         } finally {
-            for (StandInWorker worker : workers) {
+            for (FakeHttpWorker worker : workers) {
                 worker.close();
             }
         }
--- a/src/main/java/gorserill/program/demo/StandInRegistry.java
+++ b/src/main/java/gorserill/program/demo/FakeAddressRegistry.java
@@ -13,7 +13,7 @@
 import java.util.function.BiConsumer;
 
 /** Where a service address is announced by {@code PUT}, and a proxy that sends each connection there. */
-public final class StandInRegistry extends StandIn {
+public final class FakeAddressRegistry extends LoopbackHttpServer {
     private final ServerSocket proxy = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     private final BiConsumer<String, Long> heard;
@@ -21,39 +21,39 @@
     private long epoch;
 
     /** @param heard is told of each address that was taken, and its epoch */
-    public StandInRegistry(BiConsumer<String, Long> heard) throws IOException {
+    public FakeAddressRegistry(BiConsumer<String, Long> heard) throws IOException {
         this.heard = heard;
         daemon("proxy", this::pass);
     }
 
     /** Where clients come. */
-    public InetSocketAddress entry() {
+    public InetSocketAddress proxyAddress() {
         return (InetSocketAddress) proxy.getLocalSocketAddress();
     }
 
     /** The address that was announced last; null where none was. */
-    public String value() {
+    public String announcedAddress() {
         return value;
     }
 
     @Override
-    void answer(Asked asked, Socket to) throws IOException {
-        if (asked.method().equals("GET")) {
+    void respond(Request request, Socket connection) throws IOException {
+        if (request.method().equals("GET")) {
             String at = value == null ? "" : value;
-            write(to, "HTTP/1.1 200 OK\r\nContent-Length: " + at.length() + "\r\n\r\n" + at);
+            write(connection, "HTTP/1.1 200 OK\r\nContent-Length: " + at.length() + "\r\n\r\n" + at);
             return;
         }
-        long its = Long.parseLong(asked.headers().getOrDefault("x-epoch", "0"));
+        long its = Long.parseLong(request.headers().getOrDefault("x-epoch", "0"));
         boolean late;
         synchronized (this) {
             late = its < epoch;
             if (!late) {
                 epoch = its;
-                value = new String(asked.body(), StandardCharsets.UTF_8);
+                value = new String(request.body(), StandardCharsets.UTF_8);
                 heard.accept(value, its);
             }
         }
-        write(to, "HTTP/1.1 " + (late ? "409 Conflict" : "204 No Content") + "\r\nContent-Length: 0\r\n\r\n");
+        write(connection, "HTTP/1.1 " + (late ? "409 Conflict" : "204 No Content") + "\r\nContent-Length: 0\r\n\r\n");
     }
 
     private void pass() {
@@ -112,7 +112,7 @@
     @Override
     public void close() throws IOException {
         proxy.close();
-        open.forEach(StandInRegistry::close);
+        open.forEach(FakeAddressRegistry::close);
         super.close();
     }
 }
--- a/src/main/java/gorserill/program/demo/StandInWorker.java
+++ b/src/main/java/gorserill/program/demo/FakeHttpWorker.java
@@ -11,7 +11,7 @@
  * counts as run from the moment that the worker says so, or that it could have begun: whatever breaks after
  * its last byte.
  */
-public final class StandInWorker extends StandIn {
+public final class FakeHttpWorker extends LoopbackHttpServer {
     /** What a worker does with a job that it was sent. */
     public enum Kind {
         DONE,
@@ -23,10 +23,10 @@
     /**
      * How it does it.
      *
-     * @param millis that it takes
+     * @param durationMs that it takes
      * @param result a JSON value, where it is done
      */
-    public record Reaction(Kind kind, int millis, String result) {}
+    public record Reaction(Kind kind, int durationMs, String result) {}
 
     /**
      * A job as it came.
@@ -46,14 +46,15 @@
      *
      * @param runs by id, shared among workers
      */
-    public StandInWorker(String name, Map<String, Integer> runs, Function<Job, Reaction> behaviour) throws IOException {
+    public FakeHttpWorker(String name, Map<String, Integer> runs, Function<Job, Reaction> behaviour)
+            throws IOException {
         this.name = name;
         this.runs = runs;
         this.behaviour = behaviour;
     }
 
     /** Counts that several workers can share. */
-    public static Map<String, Integer> counts() {
+    public static Map<String, Integer> newRunCounts() {
         return new ConcurrentHashMap<>();
     }
 
@@ -62,35 +63,35 @@
     }
 
     @Override
-    void answer(Asked asked, Socket to) throws IOException, InterruptedException {
-        String id = asked.headers().getOrDefault("x-txn", "");
+    void respond(Request request, Socket connection) throws IOException, InterruptedException {
+        String id = request.headers().getOrDefault("x-txn", "");
         int run = runs.merge(id, 1, Integer::sum);
         Reaction reaction = behaviour.apply(new Job(
-                asked.headers().getOrDefault("x-lane", ""),
+                request.headers().getOrDefault("x-lane", ""),
                 id,
-                asked.headers().get("idempotency-key"),
-                asked.headers().get("x-fence"),
-                asked.body(),
+                request.headers().get("idempotency-key"),
+                request.headers().get("x-fence"),
+                request.body(),
                 run));
         if (reaction.kind() == Kind.RESET) {
-            Thread.sleep(reaction.millis());
+            Thread.sleep(reaction.durationMs());
             // Without lingering, a close is a reset.
-            to.setSoLinger(true, 0);
-            to.close();
+            connection.setSoLinger(true, 0);
+            connection.close();
             return;
         }
-        write(to, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        chunk(to, "{\"state\":\"started\"}\n");
-        Thread.sleep(reaction.millis());
+        write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        chunk(connection, "{\"state\":\"started\"}\n");
+        Thread.sleep(reaction.durationMs());
         chunk(
-                to,
+                connection,
                 reaction.kind() == Kind.FAILED
                         ? "{\"state\":\"failed\"}\n"
                         : "{\"state\":\"done\",\"result\":" + reaction.result() + "}\n");
-        write(to, "0\r\n\r\n");
+        write(connection, "0\r\n\r\n");
     }
 
-    private static void chunk(Socket to, String text) throws IOException {
-        write(to, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+    private static void chunk(Socket connection, String text) throws IOException {
+        write(connection, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 }
--- a/src/main/java/gorserill/program/demo/StandIn.java
+++ b/src/main/java/gorserill/program/demo/LoopbackHttpServer.java
@@ -19,11 +19,11 @@
 /**
  * A server of HTTP/1.1 on a loopback port of its own, a thread for each connection: plain rather than fast.
  */
-abstract class StandIn implements Closeable {
+abstract class LoopbackHttpServer implements Closeable {
     private final ServerSocket server = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
 
-    StandIn() throws IOException {
+    LoopbackHttpServer() throws IOException {
         // Danger: a thread that isn't a daemon would outlive a demo that is broken off.
         daemon("accept", this::accept);
     }
@@ -35,10 +35,10 @@
     }
 
     /** A request, its headers by lower-case names. */
-    record Asked(String method, String target, Map<String, String> headers, byte[] body) {}
+    record Request(String method, String target, Map<String, String> headers, byte[] body) {}
 
     /** Answers a request on its connection. */
-    abstract void answer(Asked asked, Socket to) throws IOException, InterruptedException;
+    abstract void respond(Request request, Socket connection) throws IOException, InterruptedException;
 
     public InetSocketAddress address() {
         return (InetSocketAddress) server.getLocalSocketAddress();
@@ -60,8 +60,8 @@
     private void serve(Socket socket) {
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (Asked asked = read(in); asked != null; asked = read(in)) {
-                answer(asked, socket);
+            for (Request request = read(in); request != null; request = read(in)) {
+                respond(request, socket);
             }
         } catch (IOException e) {
             // The node has left, or was to be left.
@@ -72,7 +72,7 @@
         }
     }
 
-    private static Asked read(InputStream in) throws IOException {
+    private static Request read(InputStream in) throws IOException {
         String[] first = line(in).split(" ");
         if (first.length < 2) {
             return null;
@@ -85,7 +85,7 @@
                     line.substring(colon + 1).strip());
         }
         byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
-        return new Asked(first[0], first[1], headers, body);
+        return new Request(first[0], first[1], headers, body);
     }
 
     /** Without its end; empty at the end of the stream. */
@@ -97,8 +97,8 @@
         return line.toString(StandardCharsets.ISO_8859_1).strip();
     }
 
-    static void write(Socket to, String text) throws IOException {
-        to.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+    static void write(Socket connection, String text) throws IOException {
+        connection.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
--- a/src/main/java/gorserill/program/drill/Drill.java
+++ b/src/main/java/gorserill/program/drill/Drill.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import gorserill.program.demo.StandInDiscovery;
-import gorserill.program.demo.StandInRegistry;
-import gorserill.program.demo.StandInWorker;
-import gorserill.program.demo.StandInWorker.Kind;
-import gorserill.program.demo.StandInWorker.Reaction;
+import gorserill.program.demo.FakeAddressRegistry;
+import gorserill.program.demo.FakeDiscovery;
+import gorserill.program.demo.FakeHttpWorker;
+import gorserill.program.demo.FakeHttpWorker.Kind;
+import gorserill.program.demo.FakeHttpWorker.Reaction;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.PrintStream;
@@ -88,7 +88,7 @@
     private final SplittableRandom random;
     private final List<NodeProcess> nodes = new ArrayList<>();
     private Links links;
-    private StandInRegistry registry;
+    private FakeAddressRegistry registry;
     private String last = "";
     private volatile long sickUntil;
     private final AtomicInteger outByPermit = new AtomicInteger();
@@ -117,14 +117,14 @@
 
     private boolean run() throws IOException, InterruptedException {
         Files.createDirectories(plan.report);
-        List<StandInWorker> workers = new ArrayList<>();
-        try (StandInDiscovery discovery = new StandInDiscovery();
-                StandInRegistry entry = new StandInRegistry(audit::announced)) {
+        List<FakeHttpWorker> workers = new ArrayList<>();
+        try (FakeDiscovery discovery = new FakeDiscovery();
+                FakeAddressRegistry entry = new FakeAddressRegistry(audit::announced)) {
             registry = entry;
             audit.bounds(plan.piece.equals("budgets") ? plan.nodes : 0);
             for (int w = 0; w < WORKERS; w++) {
                 String name = "w" + w;
-                workers.add(new StandInWorker(name, new ConcurrentHashMap<>(), job -> {
+                workers.add(new FakeHttpWorker(name, new ConcurrentHashMap<>(), job -> {
                     audit.ran(name, job.id(), job.fence());
                     if (job.lane().equals("estado") && !name.equals("w0") && System.currentTimeMillis() < sickUntil) {
                         return new Reaction(Kind.RESET, 3, null);
@@ -132,7 +132,7 @@
                     return new Reaction(Kind.DONE, 5 + Math.floorMod(job.id().hashCode(), 60), "1");
                 }));
             }
-            discovery.list(workers);
+            discovery.setWorkers(workers);
             for (int i = 0; i < plan.nodes; i++) {
                 nodes.add(new NodeProcess(i, plan.report, audit));
             }
@@ -157,14 +157,14 @@
             if (links != null) {
                 links.close();
             }
-            for (StandInWorker worker : workers) {
+            for (FakeHttpWorker worker : workers) {
                 worker.close();
             }
         }
         return tell();
     }
 
-    private void write(NodeProcess node, StandInDiscovery discovery, List<StandInWorker> workers) throws IOException {
+    private void write(NodeProcess node, FakeDiscovery discovery, List<FakeHttpWorker> workers) throws IOException {
         try (InputStream text = Drill.class.getResourceAsStream("/gorserill/program/demo.json")) {
             Files.writeString(
                     node.folder.resolve("node.json"),
@@ -175,7 +175,8 @@
                             .replace("DISCOVERY", "" + discovery.address().getPort())
                             .replace("\"instances\": 1", "\"instances\": " + plan.nodes)
                             .replace(
-                                    "\"endpoints\": []", "\"endpoints\": [" + StandInDiscovery.entries(workers) + "]"));
+                                    "\"endpoints\": []",
+                                    "\"endpoints\": [" + FakeDiscovery.endpointEntries(workers) + "]"));
         }
         StringBuilder members = new StringBuilder();
         StringBuilder voters = new StringBuilder();
@@ -239,7 +240,7 @@
     private void awaitReady() throws IOException, InterruptedException {
         long until = System.currentTimeMillis() + START;
         for (NodeProcess node : nodes) {
-            while (!answers(node) || plan.piece.equals("address") && registry.value() == null) {
+            while (!answers(node) || plan.piece.equals("address") && registry.announcedAddress() == null) {
                 if (System.currentTimeMillis() > until || !node.process.isAlive()) {
                     throw new IOException(node.name + " did not become ready; its log is in " + node.folder);
                 }
@@ -325,7 +326,10 @@
             try {
                 int status = http.send(
                                 HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
-                                                + (byProxy ? registry.entry().getPort() : node.clients) + "/estado"))
+                                                + (byProxy
+                                                        ? registry.proxyAddress()
+                                                                .getPort()
+                                                        : node.clients) + "/estado"))
                                         .header("X-Txn", client + "-" + i + "-" + asked)
                                         .timeout(Duration.ofSeconds(6))
                                         .POST(HttpRequest.BodyPublishers.ofString("x"))
@@ -337,7 +341,7 @@
             } catch (IOException e) {
                 if (byProxy
                         && !over
-                        && registry.value() != null
+                        && registry.announcedAddress() != null
                         && Set.of(Fault.LEAVE).containsAll(plan.faults)) {
                     audit.violated(
                             "address",
--- a/src/test/java/gorserill/measure/ContractCost.java
+++ b/src/test/java/gorserill/measure/ContractCost.java
@@ -1,9 +1,9 @@
 package gorserill.measure;
 
-import gorserill.program.demo.StandInDiscovery;
-import gorserill.program.demo.StandInWorker;
-import gorserill.program.demo.StandInWorker.Kind;
-import gorserill.program.demo.StandInWorker.Reaction;
+import gorserill.program.demo.FakeDiscovery;
+import gorserill.program.demo.FakeHttpWorker;
+import gorserill.program.demo.FakeHttpWorker.Kind;
+import gorserill.program.demo.FakeHttpWorker.Reaction;
 import java.io.BufferedReader;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -124,13 +124,13 @@
     /** Microseconds of the node's CPU for each request. */
     private static double round(boolean bound, int requests, int kib) throws Exception {
         Path folder = Files.createTempDirectory("cost");
-        List<StandInWorker> workers = new ArrayList<>();
-        Map<String, Integer> runs = StandInWorker.counts();
-        try (StandInDiscovery discovery = new StandInDiscovery()) {
+        List<FakeHttpWorker> workers = new ArrayList<>();
+        Map<String, Integer> runs = FakeHttpWorker.newRunCounts();
+        try (FakeDiscovery discovery = new FakeDiscovery()) {
             for (int w = 0; w < 6; w++) {
-                workers.add(new StandInWorker("w" + w, runs, job -> new Reaction(Kind.DONE, 1, "1")));
+                workers.add(new FakeHttpWorker("w" + w, runs, job -> new Reaction(Kind.DONE, 1, "1")));
             }
-            discovery.list(workers);
+            discovery.setWorkers(workers);
             int port = free();
             Path config = folder.resolve("node.json");
             try (InputStream text = ContractCost.class.getResourceAsStream("/gorserill/program/demo.json")) {
@@ -142,7 +142,7 @@
                                 .replace("DISCOVERY", "" + discovery.address().getPort())
                                 .replace(
                                         "\"endpoints\": []",
-                                        "\"endpoints\": [" + StandInDiscovery.entries(workers) + "]"));
+                                        "\"endpoints\": [" + FakeDiscovery.endpointEntries(workers) + "]"));
             }
             ProcessBuilder builder = new ProcessBuilder(
                             "java",
@@ -189,7 +189,7 @@
                 node.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
             }
         } finally {
-            for (StandInWorker worker : workers) {
+            for (FakeHttpWorker worker : workers) {
                 worker.close();
             }
         }
--- a/src/test/java/gorserill/program/ClusterRunTest.java
+++ b/src/test/java/gorserill/program/ClusterRunTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import gorserill.program.command.Gorserill;
+import gorserill.program.command.GorserillCommand;
 import gorserill.transport.ReservedPort;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -64,7 +64,7 @@
                 System.arraycopy(words, 0, line, 1, words.length);
                 line[words.length + 1] = "--at";
                 line[words.length + 2] = "127.0.0.1:" + operators;
-                status = Gorserill.execute(line);
+                status = GorserillCommand.execute(line);
             } finally {
                 System.setOut(out);
                 System.setErr(err);
--- a/src/test/java/gorserill/program/ContractRunTest.java
+++ b/src/test/java/gorserill/program/ContractRunTest.java
@@ -4,11 +4,11 @@
 import static org.testng.Assert.assertTrue;
 
 import gorserill.contract.Generated;
-import gorserill.program.demo.StandInDiscovery;
-import gorserill.program.demo.StandInWorker;
-import gorserill.program.demo.StandInWorker.Job;
-import gorserill.program.demo.StandInWorker.Kind;
-import gorserill.program.demo.StandInWorker.Reaction;
+import gorserill.program.demo.FakeDiscovery;
+import gorserill.program.demo.FakeHttpWorker;
+import gorserill.program.demo.FakeHttpWorker.Job;
+import gorserill.program.demo.FakeHttpWorker.Kind;
+import gorserill.program.demo.FakeHttpWorker.Reaction;
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
@@ -48,21 +48,21 @@
         final Path folder = Files.createTempDirectory("bound");
         final Path openApi = folder.resolve("openapi.yaml");
         final Path asyncApi = folder.resolve("asyncapi.yaml");
-        final List<StandInWorker> workers = new ArrayList<>();
-        final Map<String, Integer> runs = StandInWorker.counts();
-        final StandInDiscovery discovery = new StandInDiscovery();
+        final List<FakeHttpWorker> workers = new ArrayList<>();
+        final Map<String, Integer> runs = FakeHttpWorker.newRunCounts();
+        final FakeDiscovery discovery = new FakeDiscovery();
         final Fixture fixture;
         final Node node;
 
         Bound(String http, String messages, int count, Function<Job, Reaction> behaviour) throws Exception {
             write(http, messages);
             for (int w = 1; w <= count; w++) {
-                workers.add(new StandInWorker("w" + w, runs, behaviour));
+                workers.add(new FakeHttpWorker("w" + w, runs, behaviour));
             }
-            discovery.list(workers);
+            discovery.setWorkers(workers);
             fixture = new Fixture(
                     discovery.address(),
-                    StandInDiscovery.entries(workers).replace("\"m\"", "\"std4\""),
+                    FakeDiscovery.endpointEntries(workers).replace("\"m\"", "\"std4\""),
                     15_000,
                     "{\"enabled\":true,\"listen\":\"LISTEN\",\"asyncapi\":\"" + asyncApi + "\"}");
             fixture.environment.put("GORSERILL_OPENAPI", openApi.toString());
@@ -89,7 +89,7 @@
         public void close() throws IOException {
             node.stop();
             discovery.close();
-            for (StandInWorker worker : workers) {
+            for (FakeHttpWorker worker : workers) {
                 worker.close();
             }
         }
--- a/src/test/java/gorserill/program/command/CommandTest.java
+++ b/src/test/java/gorserill/program/command/CommandTest.java
@@ -41,7 +41,7 @@
 
     private int run(String... args) {
         out.getBuffer().setLength(0);
-        CommandLine line = new CommandLine(new Gorserill());
+        CommandLine line = new CommandLine(new GorserillCommand());
         line.setOut(new PrintWriter(out, true)).setErr(new PrintWriter(out, true));
         return line.execute(args);
     }
--- a/src/test/java/gorserill/program/scale/PlansTest.java
+++ b/src/test/java/gorserill/program/scale/PlansTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import gorserill.program.command.Gorserill;
+import gorserill.program.command.GorserillCommand;
 import gorserill.program.scale.FleetList.Entry;
 import gorserill.program.scale.FleetList.Status;
 import java.net.InetSocketAddress;
@@ -49,10 +49,10 @@
 
     @Test
     public void wrongArgumentsEndWithStatusTwo() {
-        assertEquals(Gorserill.execute(new String[] {"scale", "--workers", "0"}), 2);
-        assertEquals(Gorserill.execute(new String[] {"scale", "--along", "sideways"}), 2);
-        assertEquals(Gorserill.execute(new String[] {"scale", "--plant", "nothing-known"}), 2);
-        assertEquals(Gorserill.execute(new String[] {"scale", "--repeat", "0"}), 2);
+        assertEquals(GorserillCommand.execute(new String[] {"scale", "--workers", "0"}), 2);
+        assertEquals(GorserillCommand.execute(new String[] {"scale", "--along", "sideways"}), 2);
+        assertEquals(GorserillCommand.execute(new String[] {"scale", "--plant", "nothing-known"}), 2);
+        assertEquals(GorserillCommand.execute(new String[] {"scale", "--repeat", "0"}), 2);
     }
 
     @Test
