--- a/src/main/java/gorserill/program/command/ClusterCommand.java
+++ b/src/main/java/gorserill/program/command/ClusterCommand.java
@@ -19,15 +19,18 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Asks a node of the cluster, at its second address. Exit status: 0 done, 1 not, 2 wrong arguments. */
+/**
+ * The {@code cluster} subcommand: sends a call to the operators' address of a running node and prints its answer.
+ * Exit status: 0 the call succeeded, 1 it failed, 2 wrong arguments.
+ */
 @Command(
         name = "cluster",
         mixinStandardHelpOptions = true,
-        description = "Asks a running node what it knows of its cluster, or has the cluster changed.")
+        description = "Queries the cluster state of a running node, or changes the cluster.")
 final class ClusterCommand implements Callable<Integer> {
-    private static final Set<String> TABLES = Set.of("status", "members", "owners", "budgets");
-    private static final int PATIENCE = 3_000;
-    private static final int LONGEST = 4 << 20;
+    private static final Set<String> QUERIES = Set.of("status", "members", "owners", "budgets");
+    private static final int TIMEOUT_MS = 3_000;
+    private static final int MAX_ANSWER_BYTES = 4 << 20;
 
     @Spec
     private CommandSpec spec;
@@ -36,34 +39,37 @@
             paramLabel = "WHAT",
             description = "status, members, owners or budgets; transfer PIECE [NODE]; "
                     + "replace-voter OLD NEW; permit; release NODE")
-    private List<String> words;
+    private List<String> callWords;
 
-    @Option(names = "--at", required = true, description = "a node's second address, as HOST:PORT")
+    @Option(
+            names = "--at",
+            required = true,
+            description = "the operators' address (admin_addr) of a node, as HOST:PORT")
     private String at;
 
-    @Option(names = "--json", description = "as the node gives it, one line of JSON")
+    @Option(names = "--json", description = "print the node's answer as one line of JSON")
     private boolean json;
 
     @Override
     public Integer call() throws IOException {
-        boolean table = TABLES.contains(words.get(0));
+        boolean query = QUERIES.contains(callWords.get(0));
         int colon = at.lastIndexOf(':');
         if (colon < 1 || !at.substring(colon + 1).matches("[0-9]{1,5}")) {
             throw new ParameterException(spec.commandLine(), "--at '" + at + "' is not HOST:PORT");
-        } else if (json && !table) {
-            throw new ParameterException(spec.commandLine(), "--json goes with one of " + TABLES);
+        } else if (json && !query) {
+            throw new ParameterException(spec.commandLine(), "--json is valid only with one of " + QUERIES);
         }
         PrintWriter out = spec.commandLine().getOut();
         String answer;
         try {
-            answer = ask(
+            answer = sendCall(
                     new InetSocketAddress(at.substring(0, colon), Integer.parseInt(at.substring(colon + 1))),
-                    "cluster " + String.join(" ", words) + (table ? " json" : ""));
+                    "cluster " + String.join(" ", callWords) + (query ? " json" : ""));
         } catch (IOException e) {
             spec.commandLine()
                     .getErr()
-                    .println(
-                            "no answer from " + at + ": " + e.getMessage() + "; is it admin_addr of a node that runs?");
+                    .println("no answer from " + at + ": " + e.getMessage()
+                            + "; check that this is the admin_addr of a running node");
             return 1;
         }
         if (!answer.startsWith("{")) {
@@ -75,23 +81,25 @@
             new ObjectMapper()
                     .readTree(answer)
                     .fields()
-                    .forEachRemaining(kind -> print(out, kind.getKey(), kind.getValue()));
+                    .forEachRemaining(kind -> printTable(out, kind.getKey(), kind.getValue()));
         }
         return 0;
     }
 
-    private static String ask(InetSocketAddress node, String call) throws IOException {
+    private static String sendCall(InetSocketAddress address, String call) throws IOException {
         try (Socket socket = new Socket()) {
-            socket.connect(node, PATIENCE);
-            socket.setSoTimeout(PATIENCE);
+            socket.connect(address, TIMEOUT_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream().write((call + "\n").getBytes(StandardCharsets.UTF_8));
-            String text = new String(socket.getInputStream().readNBytes(LONGEST), StandardCharsets.UTF_8);
-            return text.lines().findFirst().orElseThrow(() -> new IOException("nothing came"));
+            String text = new String(socket.getInputStream().readNBytes(MAX_ANSWER_BYTES), StandardCharsets.UTF_8);
+            return text.lines()
+                    .findFirst()
+                    .orElseThrow(() -> new IOException("the connection was closed without an answer"));
         }
     }
 
-    /** A table: a column for the name and one for each figure that any row has. */
-    private static void print(PrintWriter out, String kind, JsonNode rows) {
+    /** Prints rows as a table: the name first, then a column for each field that occurs in any row. */
+    private static void printTable(PrintWriter out, String kind, JsonNode rows) {
         Set<String> columns = new LinkedHashSet<>();
         rows.forEach(row -> row.fieldNames().forEachRemaining(columns::add));
         List<List<String>> lines = new ArrayList<>();
--- a/src/main/java/gorserill/program/command/ContractCommand.java
+++ b/src/main/java/gorserill/program/command/ContractCommand.java
@@ -37,7 +37,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What can be asked about descriptions without a node. */
+/** The {@code contract} subcommands, which work on OpenAPI and AsyncAPI descriptions without a running node. */
 @Command(
         name = "contract",
         description = "Checks, shows and compares OpenAPI and AsyncAPI descriptions.",
@@ -50,30 +50,31 @@
         },
         mixinStandardHelpOptions = true)
 public final class ContractCommand implements Runnable {
-    /** As the node's front has it. */
-    private static final int MOST_BYTES = 64 * 1024;
+    /** Limit on a request body; the same as at the node's HTTP listener. */
+    private static final int MAX_BODY_BYTES = 64 * 1024;
 
     @Spec
     private CommandSpec spec;
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "say what to do: check, show, match, diff or export");
+        throw new ParameterException(
+                spec.commandLine(), "a subcommand is required: check, show, match, diff or export");
     }
 
-    /** In which form results are printed. */
+    /** Output formats; the constants are the values of {@code --format}. */
     enum Format {
         text,
         json
     }
 
-    /** What the commands have in common. */
+    /** Options and helpers that all subcommands share. */
     @Command(mixinStandardHelpOptions = true)
     abstract static class ContractSubcommand implements Callable<Integer> {
         @Spec
         protected CommandSpec spec;
 
-        @Option(names = "--format", description = "text or json; text if not said", defaultValue = "text")
+        @Option(names = "--format", description = "text or json; default text", defaultValue = "text")
         protected Format format;
 
         protected PrintWriter out() {
@@ -90,7 +91,7 @@
             return 0;
         }
 
-        /** The classes of a node's configuration; null where none is named. */
+        /** Returns the job classes of a node's configuration, or null if no configuration is given. */
         protected Map<String, JobRule> rules(Path settings) {
             try {
                 return settings == null ? null : NodeConfig.jobRules(settings);
@@ -99,7 +100,7 @@
             }
         }
 
-        /** Reads a contract; null where it is faulty, after its faults were printed. */
+        /** Reads a contract and prints its faults; returns null if it has errors. */
         protected Contract contract(Path file, Map<String, JobRule> rules) {
             Faults faults = new Faults();
             Contract contract = ContractReader.read(Library.open(file, faults), rules);
@@ -109,16 +110,18 @@
         }
     }
 
-    /** With the settings of a node, where the command can go without. */
+    /** A subcommand with an optional node configuration. */
     abstract static class SettingsSubcommand extends ContractSubcommand {
         @Option(
                 names = "--settings",
                 paramLabel = "FILE",
-                description = "a node's configuration, as NODE_CONFIG names it; without it classes are not checked")
+                description = "a node's configuration, as in NODE_CONFIG; if absent, job classes are not checked")
         protected Path settings;
     }
 
-    @Command(name = "check", description = "Tells all that is wrong; exit status 0 if nothing is, else 1.")
+    @Command(
+            name = "check",
+            description = "Reports all faults of descriptions; exit status 0 if there is no error, else 1.")
     static final class CheckCommand extends SettingsSubcommand {
         @Parameters(arity = "1..*", paramLabel = "FILE")
         private List<Path> files;
@@ -161,7 +164,7 @@
         }
     }
 
-    @Command(name = "show", description = "Tells of each operation what was learned, and from where.")
+    @Command(name = "show", description = "Shows the terms derived for each operation, and their sources.")
     static final class ShowCommand extends SettingsSubcommand {
         @Parameters(paramLabel = "FILE")
         private Path file;
@@ -175,7 +178,7 @@
             ObjectNode json = JsonNodeFactory.instance.objectNode();
             json.put("title", contract.title()).put("version", contract.version());
             ArrayNode list = json.putArray("operations");
-            contract.operations().forEach(operation -> list.add(described(operation)));
+            contract.operations().forEach(operation -> list.add(toJson(operation)));
             if (format == Format.json) {
                 return print(json);
             }
@@ -186,15 +189,15 @@
         }
     }
 
-    private static ObjectNode described(Operation operation) {
+    private static ObjectNode toJson(Operation operation) {
         ObjectNode json = JsonNodeFactory.instance.objectNode();
         json.put("operation", operation.id())
                 .put("method", operation.method())
                 .put("address", operation.address())
                 .put("place", operation.place());
-        learned(operation)
-                .forEach((name, what) ->
-                        json.putObject(name).put("value", words(what)).put("source", what.source()));
+        terms(operation)
+                .forEach((name, term) ->
+                        json.putObject(name).put("value", valueText(term)).put("source", term.source()));
         return json;
     }
 
@@ -206,64 +209,63 @@
                 .append(' ')
                 .append(operation.address())
                 .append('\n');
-        learned(operation)
-                .forEach((name, what) -> text.append(
-                        String.format(Locale.ROOT, "    %-9s %s  (%s)%n", name, words(what), what.source())));
+        terms(operation)
+                .forEach((name, term) -> text.append(
+                        String.format(Locale.ROOT, "    %-9s %s  (%s)%n", name, valueText(term), term.source())));
         return text.toString();
     }
 
-    private static String words(Sourced<?> what) {
-        return what.value() instanceof barrowflow.Dispatcher.Effect effect
+    private static String valueText(Sourced<?> term) {
+        return term.value() instanceof barrowflow.Dispatcher.Effect effect
                 ? Effects.word(effect)
-                : what.value().toString().toLowerCase(Locale.ROOT);
+                : term.value().toString().toLowerCase(Locale.ROOT);
     }
 
-    private static Map<String, Sourced<?>> learned(Operation operation) {
-        Map<String, Sourced<?>> learned = new java.util.LinkedHashMap<>();
-        learned.put("class", operation.terms().jobClass());
-        learned.put("effect", operation.terms().effect());
-        learned.put("key", operation.terms().key());
-        learned.put(
+    private static Map<String, Sourced<?>> terms(Operation operation) {
+        Map<String, Sourced<?>> terms = new java.util.LinkedHashMap<>();
+        terms.put("class", operation.terms().jobClass());
+        terms.put("effect", operation.terms().effect());
+        terms.put("key", operation.terms().key());
+        terms.put(
                 "deadline",
                 operation.terms().deadline() == null
                         ? null
                         : new Sourced<>(
                                 operation.terms().deadline().value() / 1_000 + " ms",
                                 operation.terms().deadline().source()));
-        learned.put("slots", operation.terms().slots());
-        learned.put("answers", operation.terms().answers());
+        terms.put("slots", operation.terms().slots());
+        terms.put("answers", operation.terms().answers());
         for (Operation.Message message : operation.messages()) {
-            learned.put(
+            terms.put(
                     "message",
                     new Sourced<>(
                             message.name()
                                     + (message.correlation() == null ? "" : ", correlated by " + message.correlation()),
                             "messages of " + operation.place()));
         }
-        learned.values().removeIf(java.util.Objects::isNull);
-        return learned;
+        terms.values().removeIf(java.util.Objects::isNull);
+        return terms;
     }
 
     @Command(
             name = "diff",
-            description =
-                    "Tells each change as compatible or breaking; exit status 0 if none is" + " breaking, else 1.")
+            description = "Lists each change as compatible or breaking; exit status 0 if none is breaking, else 1.")
     static final class DiffCommand extends SettingsSubcommand {
         @Parameters(index = "0", paramLabel = "OLD")
-        private Path before;
+        private Path oldFile;
 
         @Parameters(index = "1", paramLabel = "NEW")
-        private Path after;
+        private Path newFile;
 
         @Override
         public Integer call() {
             Map<String, JobRule> rules = rules(settings);
-            Contract was = contract(before, rules);
-            Contract is = contract(after, rules);
-            if (was == null || is == null) {
+            Contract oldContract = contract(oldFile, rules);
+            Contract newContract = contract(newFile, rules);
+            if (oldContract == null || newContract == null) {
                 return 1;
             }
-            List<Comparison.Change> changes = Comparison.compare(was, is);
+            List<Comparison.Change> changes = Comparison.compare(oldContract, newContract);
             long breaking = changes.stream().filter(Comparison.Change::breaking).count();
             if (format == Format.json) {
                 ObjectNode json = JsonNodeFactory.instance.objectNode().put("breaking", breaking);
@@ -284,7 +286,7 @@
         }
     }
 
-    /** Writes the descriptions of a node's own fronts, {@code openapi.json} and {@code asyncapi.json}. */
+    /** Writes {@code openapi.json} and {@code asyncapi.json}, which describe a node's HTTP and Faktory listeners. */
     public static void export(Path settings, Path folder) throws IOException, ConfigException {
         Collection<JobRule> rules = NodeConfig.jobRules(settings).values();
         Files.createDirectories(folder);
@@ -293,19 +295,21 @@
                 folder.resolve("asyncapi.json"), Export.asyncApi(rules).toPrettyString() + "\n");
     }
 
-    @Command(name = "export", description = "Makes the descriptions of a node's own fronts from its settings.")
+    @Command(
+            name = "export",
+            description = "Generates the descriptions of a node's HTTP and Faktory listeners from its settings.")
     static final class ExportCommand extends ContractSubcommand {
         @Option(
                 names = "--settings",
                 paramLabel = "FILE",
                 required = true,
-                description = "a node's configuration, as NODE_CONFIG names it")
+                description = "a node's configuration, as in NODE_CONFIG")
         private Path settings;
 
         @Option(
                 names = "--to",
                 paramLabel = "FOLDER",
-                description = "where to write openapi.json and" + " asyncapi.json; if not said, both are printed")
+                description = "folder for openapi.json and asyncapi.json; by default both are printed")
         private Path folder;
 
         @Override
@@ -329,8 +333,8 @@
     @Command(
             name = "match",
             description = {
-                "Holds a request against a description; exit status 0 if it is let in," + " 1 if it is turned away.",
-                "For AsyncAPI say MESSAGE for the method and the queue for the path; headers"
+                "Validates a request against a description; exit status 0 if it is accepted, 1 if it is rejected.",
+                "For AsyncAPI, give MESSAGE as the method and the queue as the path; headers"
                         + " are then fields of the message's header object."
             })
     static final class MatchCommand extends SettingsSubcommand {
@@ -343,10 +347,10 @@
         @Parameters(index = "2", paramLabel = "PATH")
         private String target;
 
-        @Option(names = "-H", paramLabel = "'Name: value'", description = "a header; may come several times")
+        @Option(names = "-H", paramLabel = "'Name: value'", description = "a header; may be repeated")
         private List<String> headers = List.of();
 
-        @Option(names = "--body", paramLabel = "FILE", description = "the request's body, or the message")
+        @Option(names = "--body", paramLabel = "FILE", description = "the request body, or the message")
         private Path body;
 
         @Override
@@ -357,13 +361,13 @@
             }
             byte[] bytes = body == null ? new byte[0] : Files.readAllBytes(body);
             Verdict verdict = contract.kind() == Contract.Kind.OPENAPI
-                    ? Door.decide(contract, asked(bytes), MOST_BYTES)
-                    : message(contract, bytes);
+                    ? Door.decide(contract, asCall(bytes), MAX_BODY_BYTES)
+                    : decideMessage(contract, bytes);
             Problem problem = verdict.problem();
             if (format == Format.json) {
                 ObjectNode json = JsonNodeFactory.instance.objectNode().put("letIn", verdict.letIn());
                 if (verdict.operation() != null) {
-                    json.set("operation", described(verdict.operation()));
+                    json.set("operation", toJson(verdict.operation()));
                 }
                 json.put("key", verdict.key());
                 if (problem != null) {
@@ -380,32 +384,32 @@
                     out().print(text(verdict.operation()));
                 }
                 if (verdict.key() != null) {
-                    out().println("    its key   " + verdict.key());
+                    out().println("    job key   " + verdict.key());
                 }
                 out().flush();
             }
             return verdict.letIn() ? 0 : 1;
         }
 
-        private Map<String, String> fields() {
+        private Map<String, String> headerFields() {
             Map<String, String> fields = new HashMap<>();
             for (String header : headers) {
                 int colon = header.indexOf(':');
                 if (colon < 1) {
-                    throw new ParameterException(spec.commandLine(), "-H '" + header + "' is no 'Name: value'");
+                    throw new ParameterException(spec.commandLine(), "-H '" + header + "' is not 'Name: value'");
                 }
                 String name = header.substring(0, colon).strip();
                 name = method.equals("MESSAGE") ? name : name.toLowerCase(Locale.ROOT);
                 if (fields.put(name, header.substring(colon + 1).strip()) != null) {
-                    throw new ParameterException(spec.commandLine(), "header " + name + " comes twice");
+                    throw new ParameterException(spec.commandLine(), "header " + name + " is given twice");
                 }
             }
             return fields;
         }
 
-        private Verdict message(Contract contract, byte[] bytes) {
+        private Verdict decideMessage(Contract contract, byte[] bytes) {
             ObjectNode header = JsonNodeFactory.instance.objectNode();
-            fields().forEach(header::put);
+            headerFields().forEach(header::put);
             try {
                 return Door.decide(contract, target, null, header, gorserill.contract.schema.Check.parse(bytes));
             } catch (gorserill.contract.schema.Check.Unreadable e) {
@@ -413,9 +417,9 @@
             }
         }
 
-        private Call asked(byte[] bytes) {
-            Map<String, String> fields = fields();
-            int question = target.indexOf('?');
+        private Call asCall(byte[] bytes) {
+            Map<String, String> fields = headerFields();
+            int queryStart = target.indexOf('?');
             return new Call() {
                 @Override
                 public String method() {
@@ -424,12 +428,12 @@
 
                 @Override
                 public String path() {
-                    return question < 0 ? target : target.substring(0, question);
+                    return queryStart < 0 ? target : target.substring(0, queryStart);
                 }
 
                 @Override
                 public String query() {
-                    return question < 0 ? null : target.substring(question + 1);
+                    return queryStart < 0 ? null : target.substring(queryStart + 1);
                 }
 
                 @Override
--- a/src/main/java/gorserill/program/command/DrillCommand.java
+++ b/src/main/java/gorserill/program/command/DrillCommand.java
@@ -24,20 +24,19 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Drills of several processes on this machine. Exit status: 0 nothing violated, 1 violated, 2 wrong
- * arguments.
+ * The {@code drill} subcommand: fault-injection runs of several nodes on this machine, as processes or in
+ * simulation. Exit status: 0 every invariant held, 1 one was violated, 2 wrong arguments.
  */
 @Command(
         name = "drill",
         mixinStandardHelpOptions = true,
-        description = "Starts several nodes on this machine, puts faults between them, and checks the rules.",
+        description = "Starts several nodes on this machine, injects faults, and checks the cluster's invariants.",
         subcommands = SoakCommand.class)
 final class DrillCommand implements Callable<Integer> {
     private static final Set<String> PIECES =
             Set.of("owner", "standing", "address", "budgets", "storm", "lab", "explore");
 
-    /** Nodes that the lab is asked for at the most. */
-    private static final int LAB_NODES = 300;
+    private static final int MAX_LAB_NODES = 300;
 
     @Spec
     private CommandSpec spec;
@@ -45,83 +44,80 @@
     @Parameters(
             paramLabel = "PIECE",
             arity = "0..1",
-            description = "what is drilled: owner (faults of links and stalls), "
-                    + "standing (with kills and restarts), address (the service address, by a proxy), "
-                    + "budgets (the fleet's budget of jobs), storm (workers that fail, and attempts again), "
-                    + "lab (the same "
-                    + "members in virtual time), or explore (every run of them with a slip or two)")
+            description = "what is tested: owner (ownership under link faults and stalls), "
+                    + "standing (standing jobs under kills and restarts), address (the service address, "
+                    + "through a proxy), budgets (cluster-wide job budgets), storm (failing workers and retries), "
+                    + "lab (members simulated in virtual time), or explore (a systematic search over simulated "
+                    + "runs with one or two deviations)")
     private String piece;
 
-    @Option(names = "--nodes", defaultValue = "3", description = "how many, 1 to 9; 3 if not said")
+    @Option(names = "--nodes", defaultValue = "3", description = "number of nodes, 1 to 9; default 3")
     private int nodes;
 
-    @Option(names = "--seconds", defaultValue = "60", description = "how long, 10 to 3600; 60 if not said")
+    @Option(names = "--seconds", defaultValue = "60", description = "duration in seconds, 10 to 3600; default 60")
     private int seconds;
 
-    @Option(names = "--seed", defaultValue = "1", description = "of the faults and their times; 1 if not said")
+    @Option(names = "--seed", defaultValue = "1", description = "seed for the faults and their times; default 1")
     private long seed;
 
-    @Option(names = "--seeds", description = "many drills instead, as 1-200: a line each, and their sum")
+    @Option(names = "--seeds", description = "run a range of seeds such as 1-200; prints a line per run and a summary")
     private String seeds;
 
-    @Option(names = "--beside", defaultValue = "4", description = "how many of them at a time; 4 if not said")
+    @Option(names = "--beside", defaultValue = "4", description = "with --seeds, runs in parallel; default 4")
     private int beside;
 
     @Option(
             names = "--steps",
             defaultValue = "100",
-            description = "of explore: steps that may slip; 100 if " + "not said")
+            description = "for explore: steps at which a deviation may occur; default 100")
     private int steps;
 
     @Option(
             names = "--scene",
             defaultValue = "quiet",
-            description = "of explore: what goes on meanwhile, quiet, " + "leave or replace; quiet if not said")
+            description = "for explore: the operation in progress, quiet, leave or replace; default quiet")
     private String scene;
 
-    @Option(
-            names = "--depth",
-            defaultValue = "2",
-            description = "of explore: slips in a run, 1 or 2; 2 if not " + "said")
+    @Option(names = "--depth", defaultValue = "2", description = "for explore: deviations per run, 1 or 2; default 2")
     private int depth;
 
     @Option(
             names = "--faults",
             split = ",",
-            description = "some of loss, delay, twice, cut, one-way, link, "
+            description = "comma-separated list of loss, delay, twice, cut, one-way, link, "
                     + "flap, stall, kill, restart-all, leave, lose-voter, disk, clock, misroute, sick, or none; "
-                    + "all that belong to the piece if not said")
+                    + "default all that apply to PIECE")
     private List<String> faults;
 
     @Option(
             names = "--plant",
             defaultValue = "",
-            description = "a fault in the nodes' own rules, which the "
-                    + "drill must find: lease-without-margin, claim-skipped, owner-that-does-not-check, epoch-not-kept")
+            description = "a defect injected into the nodes, which the drill must detect: "
+                    + "lease-without-margin, claim-skipped, owner-that-does-not-check, epoch-not-kept")
     private String plant;
 
-    @Option(names = "--json", description = "of lab: the traffic of nodes as JSON")
+    @Option(names = "--json", description = "for lab: print the traffic of nodes as JSON")
     private boolean json;
 
-    @Option(names = "--report", description = "a folder for the report and the nodes' files; a new one if not said")
+    @Option(names = "--report", description = "folder for the report and the nodes' files; default a new temporary one")
     private Path report;
 
     @Override
     public Integer call() throws Exception {
         if (piece == null) {
-            throw wrong("PIECE is missing, one of " + PIECES + " or soak");
+            throw invalid("PIECE is missing, one of " + PIECES + " or soak");
         }
-        long[] range = range();
+        long[] range = seedRange();
         if (piece.equals("explore")) {
             return explore() ? 0 : 1;
         } else if (piece.equals("lab")) {
             return lab(range) ? 0 : 1;
         } else if (!PIECES.contains(piece)) {
-            throw wrong("PIECE '" + piece + "' is none of " + PIECES);
+            throw invalid("PIECE '" + piece + "' is not one of " + PIECES);
         } else if (nodes < 1 || nodes > 9) {
-            throw wrong("--nodes " + nodes + " is not from 1 to 9");
+            throw invalid("--nodes " + nodes + " is not from 1 to 9");
         } else if (seconds < 10 || seconds > 3_600) {
-            throw wrong("--seconds " + seconds + " is not from 10 to 3600");
+            throw invalid("--seconds " + seconds + " is not from 10 to 3600");
         }
         Set<Drill.Fault> kinds = EnumSet.noneOf(Drill.Fault.class);
         if (faults == null) {
@@ -140,42 +136,44 @@
             }
         } else if (!faults.equals(List.of("none"))) {
             for (String fault : faults) {
-                kinds.add(named(Drill.Fault.class, "--faults", fault));
+                kinds.add(parseEnum(Drill.Fault.class, "--faults", fault));
             }
         }
-        String planted = plant.isEmpty()
+        String plantName = plant.isEmpty()
                 ? ""
-                : named(Member.Plant.class, "--plant", plant).name();
+                : parseEnum(Member.Plant.class, "--plant", plant).name();
         Path folder = report != null ? report : Files.createTempDirectory("gorserill-drill");
         PrintStream out = new PrintStream(System.out, true);
-        Drill.Plan plan = new Drill.Plan(piece, nodes, seconds, seed, kinds, planted, folder);
+        Drill.Plan plan = new Drill.Plan(piece, nodes, seconds, seed, kinds, plantName, folder);
         return (seeds == null ? Drill.run(plan, out) : Series.run(plan, range[0], range[1], beside, out)) ? 0 : 1;
     }
 
-    /** The first and the last seed. */
-    private long[] range() {
+    /** Returns the first and the last seed. */
+    private long[] seedRange() {
         if (seeds == null) {
             return new long[] {seed, seed};
         } else if (!seeds.matches("\\d{1,9}-\\d{1,9}") || beside < 1 || beside > 64) {
-            throw wrong("--seeds '" + seeds + "' is not as 1-200, or --beside " + beside + " is not from 1 to 64");
+            throw invalid("--seeds '" + seeds + "' is not a range such as 1-200, or --beside " + beside
+                    + " is not from 1 to 64");
         }
         long first = Long.parseLong(seeds.split("-")[0]);
         long last = Long.parseLong(seeds.split("-")[1]);
         if (last < first || last - first >= 100_000) {
-            throw wrong("--seeds '" + seeds + "' does not rise, or is of more than 100000");
+            throw invalid("--seeds '" + seeds + "' is empty or has more than 100000 seeds");
         }
         return new long[] {first, last};
     }
 
     private boolean explore() {
         if (steps < 1 || steps > 2_000 || depth < 1 || depth > 2) {
-            throw wrong("--steps " + steps + " is not from 1 to 2000, or --depth " + depth + " not 1 or 2");
+            throw invalid("--steps " + steps + " is not from 1 to 2000, or --depth " + depth + " is not 1 or 2");
         }
         Set<Member.Plant> plants = EnumSet.noneOf(Member.Plant.class);
         if (!plant.isEmpty()) {
-            plants.add(named(Member.Plant.class, "--plant", plant));
+            plants.add(parseEnum(Member.Plant.class, "--plant", plant));
         }
-        Explorer.Found found = Explorer.run(seed, named(Lab.Scene.class, "--scene", scene), 0, steps, depth, plants);
+        Explorer.Found found =
+                Explorer.run(seed, parseEnum(Lab.Scene.class, "--scene", scene), 0, steps, depth, plants);
         if (found.violated() != null) {
             System.out.println(found.violated() + "\n  "
                     + String.join("\n  ", found.outcome().history()));
@@ -189,20 +187,20 @@
         return found.violated() == null;
     }
 
-    /** The members in virtual time: quicker by a hundred times, and the same from the same seed. */
+    /** Simulates the members in virtual time, which is about 100 times as fast and deterministic for a seed. */
     private boolean lab(long[] range) {
-        if (nodes < 1 || nodes > LAB_NODES || seconds < 10 || seconds > 600) {
-            throw wrong("--nodes is from 1 to " + LAB_NODES + " there, --seconds from 10 to 600");
+        if (nodes < 1 || nodes > MAX_LAB_NODES || seconds < 10 || seconds > 600) {
+            throw invalid("for lab, --nodes must be from 1 to " + MAX_LAB_NODES + " and --seconds from 10 to 600");
         }
         Set<Lab.Fault> kinds = EnumSet.noneOf(Lab.Fault.class);
         if (faults == null) {
             kinds.addAll(EnumSet.allOf(Lab.Fault.class));
         } else {
-            faults.forEach(fault -> kinds.add(named(Lab.Fault.class, "--faults", fault)));
+            faults.forEach(fault -> kinds.add(parseEnum(Lab.Fault.class, "--faults", fault)));
         }
         Set<Member.Plant> plants = EnumSet.noneOf(Member.Plant.class);
         if (!plant.isEmpty()) {
-            plants.add(named(Member.Plant.class, "--plant", plant));
+            plants.add(parseEnum(Member.Plant.class, "--plant", plant));
         }
         PrintStream out = System.out;
         Lab.Sum sum = new Lab.Sum();
@@ -219,16 +217,16 @@
         return sum.violated() == 0;
     }
 
-    private <E extends Enum<E>> E named(Class<E> of, String option, String name) {
+    private <E extends Enum<E>> E parseEnum(Class<E> type, String option, String name) {
         try {
-            return Enum.valueOf(of, name.toUpperCase(Locale.ROOT).replace('-', '_'));
+            return Enum.valueOf(type, name.toUpperCase(Locale.ROOT).replace('-', '_'));
         } catch (IllegalArgumentException e) {
-            throw wrong(option + " '" + name + "' is none of "
-                    + EnumSet.allOf(of).toString().toLowerCase(Locale.ROOT).replace('_', '-'));
+            throw invalid(option + " '" + name + "' is not one of "
+                    + EnumSet.allOf(type).toString().toLowerCase(Locale.ROOT).replace('_', '-'));
         }
     }
 
-    private ParameterException wrong(String what) {
-        return new ParameterException(spec.commandLine(), what);
+    private ParameterException invalid(String message) {
+        return new ParameterException(spec.commandLine(), message);
     }
 }
--- a/src/main/java/gorserill/program/command/GorserillCommand.java
+++ b/src/main/java/gorserill/program/command/GorserillCommand.java
@@ -8,12 +8,12 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line as a whole. Exit status: 0 well, 1 a fault, 2 a wrong command line or configuration. */
+/** The root command. Exit status: 0 success, 1 failure, 2 invalid command line or configuration. */
 @Command(
         name = "gorserill",
         mixinStandardHelpOptions = true,
         version = "gorserill 0.1.0",
-        description = "Dispatches jobs to workers, and translates between protocols.",
+        description = "Dispatches jobs to workers and translates between HTTP and the Faktory protocol.",
         subcommands = {
             ContractCommand.class,
             ClusterCommand.class,
@@ -27,10 +27,10 @@
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "a command is missing");
+        throw new ParameterException(spec.commandLine(), "no command given");
     }
 
-    /** A command that is carried out elsewhere and takes nothing. */
+    /** A command without options or parameters that runs the given action. */
     @Command(mixinStandardHelpOptions = true)
     private record DelegatingCommand(Callable<Integer> action) implements Callable<Integer> {
         @Override
@@ -39,17 +39,17 @@
         }
     }
 
-    /** A command that the program brings, by its name and in a few words. */
+    /** A command implemented outside this package: its name, the description in the help text, and its action. */
     public record ExternalCommand(String name, String description, Callable<Integer> action) {}
 
-    /** Carries out a command line; gives the exit status. */
-    public static int execute(String[] args, ExternalCommand... brought) {
-        CommandLine line = new CommandLine(new GorserillCommand());
-        for (ExternalCommand one : brought) {
-            CommandLine plain = new CommandLine(new DelegatingCommand(one.action));
-            plain.getCommandSpec().usageMessage().description(one.description);
-            line.addSubcommand(one.name, plain);
+    /** Executes a command line and returns the exit status. */
+    public static int execute(String[] args, ExternalCommand... externalCommands) {
+        CommandLine commandLine = new CommandLine(new GorserillCommand());
+        for (ExternalCommand external : externalCommands) {
+            CommandLine subcommand = new CommandLine(new DelegatingCommand(external.action));
+            subcommand.getCommandSpec().usageMessage().description(external.description);
+            commandLine.addSubcommand(external.name, subcommand);
         }
-        return line.execute(args);
+        return commandLine.execute(args);
     }
 }
--- a/src/main/java/gorserill/program/command/SoakCommand.java
+++ b/src/main/java/gorserill/program/command/SoakCommand.java
@@ -20,131 +20,149 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Runs of real nodes under faults. Exit status: 0 every rule held, 1 one did not, 2 wrong arguments. */
+/**
+ * The {@code drill soak} subcommand: runs of node processes under injected faults. Exit status: 0 every invariant
+ * held, 1 one was violated, 2 wrong arguments.
+ */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
-        description = "Starts nodes, workers, discovery and clients on this machine, puts faults on them that are "
-                + "drawn from a seed, and checks the rules from outside.")
+        description = "Starts nodes, workers, discovery and clients on this machine, injects faults that are "
+                + "derived from a seed, and checks invariants from outside the nodes.")
 final class SoakCommand implements Callable<Integer> {
-    private static final int MOST_NODES = 20;
-    private static final int MOST_SECONDS = 3_600;
-    private static final int MOST_SEEDS = 10_000;
-    private static final int MOST_WORKERS = 64;
-    private static final int MOST_CLIENTS = 64;
-    private static final int MOST_LINES = 5;
+    private static final int MAX_NODES = 20;
+    private static final int MAX_SECONDS = 3_600;
+    private static final int MAX_SEEDS = 10_000;
+    private static final int MAX_WORKERS = 64;
+    private static final int MAX_CLIENTS = 64;
+    private static final int MAX_VIOLATION_LINES = 5;
 
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--seed", defaultValue = "1", description = "of all that is drawn; ${DEFAULT-VALUE} if not said")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "seed of the random number generator; default ${DEFAULT-VALUE}")
     private long seed;
 
-    @Option(names = "--seeds", description = "many runs instead, as 1-50, one after the other")
+    @Option(names = "--seeds", description = "a range of seeds such as 1-50, run one after another, instead of --seed")
     private String seeds;
 
-    @Option(names = "--seconds", defaultValue = "40", description = "under faults, a run; ${DEFAULT-VALUE} if not said")
+    @Option(
+            names = "--seconds",
+            defaultValue = "40",
+            description = "seconds under faults per run, 1 to 3600; default ${DEFAULT-VALUE}")
     private int seconds;
 
-    @Option(names = "--nodes", defaultValue = "1", description = "how many, 1 to 20; ${DEFAULT-VALUE} if not said")
+    @Option(names = "--nodes", defaultValue = "1", description = "number of nodes, 1 to 20; default ${DEFAULT-VALUE}")
     private int nodes;
 
-    @Option(names = "--workers", defaultValue = "6", description = "how many, 4 to 64; ${DEFAULT-VALUE} if not said")
+    @Option(
+            names = "--workers",
+            defaultValue = "6",
+            description = "number of workers, 4 to 64; default ${DEFAULT-VALUE}")
     private int workers;
 
-    @Option(names = "--clients", defaultValue = "8", description = "at each node; ${DEFAULT-VALUE} if not said")
+    @Option(
+            names = "--clients",
+            defaultValue = "8",
+            description = "clients per node, 1 to 64; default ${DEFAULT-VALUE}")
     private int clients;
 
     @Option(
             names = "--faults",
             split = ",",
-            description = "some of ${COMPLETION-CANDIDATES}, by commas, or none; all if not said")
+            description = "comma-separated list of ${COMPLETION-CANDIDATES}, or none; default all")
     private List<String> faults;
 
-    @Option(names = "--plant", defaultValue = "none", description = "a violation that the checks must find")
+    @Option(
+            names = "--plant",
+            defaultValue = "none",
+            description = "a violation injected to verify that the checks detect it")
     private String plant;
 
-    @Option(names = "--report", description = "a folder for configurations and logs; a new one if not said")
+    @Option(names = "--report", description = "folder for configurations and logs; default a new temporary one")
     private Path report;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        mustBe("--seconds", seconds, 1, MOST_SECONDS);
-        mustBe("--nodes", nodes, 1, MOST_NODES);
-        mustBe("--workers", workers, 4, MOST_WORKERS);
-        mustBe("--clients", clients, 1, MOST_CLIENTS);
+        requireInRange("--seconds", seconds, 1, MAX_SECONDS);
+        requireInRange("--nodes", nodes, 1, MAX_NODES);
+        requireInRange("--workers", workers, 4, MAX_WORKERS);
+        requireInRange("--clients", clients, 1, MAX_CLIENTS);
         Path folder = report != null ? report : Files.createTempDirectory("gorserill-soak");
-        long[] range = range();
-        int broken = 0;
-        for (long each = range[0]; each <= range[1]; each++) {
+        long[] range = seedRange();
+        int violatedRuns = 0;
+        for (long runSeed = range[0]; runSeed <= range[1]; runSeed++) {
             SoakPlan plan = new SoakPlan(
-                    each,
+                    runSeed,
                     seconds,
                     nodes,
                     workers,
                     clients,
-                    kinds(),
-                    named(Plant.class, "--plant", plant),
-                    Files.createDirectories(folder.resolve("seed-" + each)));
-            broken += play(plan, System.out) ? 0 : 1;
+                    faultKinds(),
+                    parseEnum(Plant.class, "--plant", plant),
+                    Files.createDirectories(folder.resolve("seed-" + runSeed)));
+            violatedRuns += execute(plan, System.out) ? 0 : 1;
         }
-        System.out.println(
-                "soak: " + (range[1] - range[0] + 1) + " runs, " + broken + " with a rule broken; " + folder);
-        return broken == 0 ? 0 : 1;
+        System.out.println("soak: " + (range[1] - range[0] + 1) + " runs, " + violatedRuns
+                + " with a violated invariant; " + folder);
+        return violatedRuns == 0 ? 0 : 1;
     }
 
-    private static boolean play(SoakPlan plan, PrintStream out) throws IOException, InterruptedException {
+    private static boolean execute(SoakPlan plan, PrintStream out) throws IOException, InterruptedException {
         try (SoakRun run = new SoakRun(plan)) {
             SoakResult result = run.run();
             out.println("seed " + plan.seed() + ": " + (result.held() ? "held" : "broken " + result.counts()) + "; "
                     + result.summary());
-            result.broken().stream().limit(MOST_LINES).forEach(line -> out.println("  " + line));
+            result.broken().stream().limit(MAX_VIOLATION_LINES).forEach(line -> out.println("  " + line));
             result.timeline().forEach(line -> out.println("    " + line));
             return result.held();
         }
     }
 
-    private Set<Fault> kinds() {
+    private Set<Fault> faultKinds() {
         Set<Fault> kinds = EnumSet.noneOf(Fault.class);
         if (faults == null) {
             return EnumSet.allOf(Fault.class);
         } else if (!faults.equals(List.of("none"))) {
-            faults.forEach(fault -> kinds.add(named(Fault.class, "--faults", fault)));
+            faults.forEach(fault -> kinds.add(parseEnum(Fault.class, "--faults", fault)));
         }
         return kinds;
     }
 
-    private long[] range() {
+    private long[] seedRange() {
         if (seeds == null) {
             return new long[] {seed, seed};
         }
         if (!seeds.matches("\\d{1,9}-\\d{1,9}")) {
-            throw wrong("--seeds '" + seeds + "' is not as 1-50");
+            throw invalid("--seeds '" + seeds + "' is not a range such as 1-50");
         }
         long first = Long.parseLong(seeds.split("-")[0]);
         long last = Long.parseLong(seeds.split("-")[1]);
-        if (last < first || last - first >= MOST_SEEDS) {
-            throw wrong("--seeds '" + seeds + "' does not rise, or is of more than " + MOST_SEEDS);
+        if (last < first || last - first >= MAX_SEEDS) {
+            throw invalid("--seeds '" + seeds + "' is empty or has more than " + MAX_SEEDS + " seeds");
         }
         return new long[] {first, last};
     }
 
-    private void mustBe(String option, int value, int least, int most) {
-        if (value < least || value > most) {
-            throw wrong(option + " " + value + " is not from " + least + " to " + most);
+    private void requireInRange(String option, int value, int min, int max) {
+        if (value < min || value > max) {
+            throw invalid(option + " " + value + " is not from " + min + " to " + max);
         }
     }
 
-    private <E extends Enum<E>> E named(Class<E> of, String option, String name) {
+    private <E extends Enum<E>> E parseEnum(Class<E> type, String option, String name) {
         try {
-            return Enum.valueOf(of, name.toUpperCase(Locale.ROOT).replace('-', '_'));
+            return Enum.valueOf(type, name.toUpperCase(Locale.ROOT).replace('-', '_'));
         } catch (IllegalArgumentException e) {
-            throw wrong(option + " '" + name + "' is none of "
-                    + EnumSet.allOf(of).toString().toLowerCase(Locale.ROOT).replace('_', '-'));
+            throw invalid(option + " '" + name + "' is not one of "
+                    + EnumSet.allOf(type).toString().toLowerCase(Locale.ROOT).replace('_', '-'));
         }
     }
 
-    private ParameterException wrong(String what) {
-        return new ParameterException(spec.commandLine(), what);
+    private ParameterException invalid(String message) {
+        return new ParameterException(spec.commandLine(), message);
     }
 }
--- a/src/main/java/gorserill/program/command/package-info.java
+++ b/src/main/java/gorserill/program/command/package-info.java
@@ -1,2 +1,5 @@
-/** The command line, on picocli. A node that is started as {@code serve} alone loads none of it. */
+/**
+ * The command line, based on picocli. None of these classes is loaded when a node is started with
+ * {@code serve} as its only argument.
+ */
 package gorserill.program.command;
--- a/src/main/java/gorserill/program/demo/Demo.java
+++ b/src/main/java/gorserill/program/demo/Demo.java
@@ -20,16 +20,16 @@
 import java.util.Map;
 
 /**
- * What a newcomer runs first: discovery, three workers and a node with both fronts under the exported
- * contracts, in one process on loopback.
+ * A self-contained demo: discovery, three workers and a node that serves HTTP and Faktory clients under the
+ * exported contracts, in one process on loopback.
  */
 public final class Demo {
     private static final int WORKERS = 3;
-    private static final int FAKTORY_WAIT = 5_000;
-    /** A node that has just begun knows little of its workers, and may ask a client to come back. */
-    private static final int TRIES = 5;
+    private static final int FAKTORY_TIMEOUT_MS = 5_000;
+    /** Just after its start a node knows little of its workers, and may ask a client to retry. */
+    private static final int MAX_ATTEMPTS = 5;
 
-    /** Starts a node; gives what ends it. */
+    /** Starts a node and returns a handle that stops it. */
     @FunctionalInterface
     public interface NodeLauncher {
         AutoCloseable start(Map<String, String> environment) throws Exception;
@@ -43,9 +43,9 @@
 
     private final PrintStream out;
     private final Path folder;
-    private final int clients = ReservedPort.reserveUntilExit().getPort();
-    private final int faktory = ReservedPort.reserveUntilExit().getPort();
-    private final int operators = ReservedPort.reserveUntilExit().getPort();
+    private final int clientPort = ReservedPort.reserveUntilExit().getPort();
+    private final int faktoryPort = ReservedPort.reserveUntilExit().getPort();
+    private final int operatorPort = ReservedPort.reserveUntilExit().getPort();
 
     private Demo(PrintStream out) throws IOException {
         this.out = out;
@@ -53,16 +53,17 @@
     }
 
     /**
-     * Runs the demo until {@code until} returns.
+     * Runs the demo.
      *
-     * @param out what is told goes here
+     * @param out receives the demo's output
+     * @param until the demo stops when this returns
      */
     public static void run(PrintStream out, NodeLauncher node, ContractExporter exporter, Runnable until)
             throws Exception {
-        new Demo(out).play(node, exporter, until);
+        new Demo(out).runDemo(node, exporter, until);
     }
 
-    private void play(NodeLauncher node, ContractExporter exporter, Runnable until) throws Exception {
+    private void runDemo(NodeLauncher node, ContractExporter exporter, Runnable until) throws Exception {
         List<FakeHttpWorker> workers = new ArrayList<>();
         Map<String, Integer> runs = FakeHttpWorker.newRunCounts();
         try (FakeDiscovery discovery = new FakeDiscovery()) {
@@ -84,8 +85,8 @@
                 Files.writeString(
                         settings,
                         new String(text.readAllBytes(), StandardCharsets.UTF_8)
-                                .replace("CLIENTS", "" + clients)
-                                .replace("OPERATORS", "" + operators)
+                                .replace("CLIENTS", "" + clientPort)
+                                .replace("OPERATORS", "" + operatorPort)
                                 .replace("DISCOVERY", "" + discovery.address().getPort())
                                 .replace(
                                         "\"endpoints\": []",
@@ -95,7 +96,8 @@
             Path faktoryFile = folder.resolve("faktory.json");
             Files.writeString(
                     faktoryFile,
-                    "{\"enabled\": true, \"listen\": \"127.0.0.1:" + faktory + "\", \"asyncapi\": \"asyncapi.json\"}");
+                    "{\"enabled\": true, \"listen\": \"127.0.0.1:" + faktoryPort
+                            + "\", \"asyncapi\": \"asyncapi.json\"}");
             try (AutoCloseable running = node.start(Map.of(
                     "NODE_CONFIG",
                     settings.toString(),
@@ -103,9 +105,9 @@
                     faktoryFile.toString(),
                     "GORSERILL_OPENAPI",
                     folder.resolve("openapi.json").toString()))) {
-                introduce();
-                tryOut();
-                out.println("\nIt runs until Ctrl-C.");
+                printAddresses();
+                sendExampleJobs();
+                out.println("\nThe demo runs until Ctrl-C.");
                 until.run();
             }
         } finally {
@@ -115,24 +117,24 @@
         }
     }
 
-    private void introduce() {
+    private void printAddresses() {
         out.println("A node with " + WORKERS + " workers, all on this machine:");
-        out.println("  HTTP clients     http://127.0.0.1:" + clients);
-        out.println("  Faktory clients  127.0.0.1:" + faktory + " (tcp, no password)");
-        out.println("  operators        127.0.0.1:" + operators
-                + ", for instance: echo telemetry | nc 127.0.0.1 "
-                + operators);
-        out.println("  its files        " + folder + "\n");
-        out.println("A job of each class:");
+        out.println("  HTTP clients     http://127.0.0.1:" + clientPort);
+        out.println("  Faktory clients  127.0.0.1:" + faktoryPort + " (tcp, no password)");
+        out.println("  operators        127.0.0.1:" + operatorPort
+                + ", for example: echo telemetry | nc 127.0.0.1 "
+                + operatorPort);
+        out.println("  files            " + folder + "\n");
+        out.println("To send a job of each class:");
         for (String name : List.of("estado", "historial", "alerta", "cierre")) {
-            out.println("  curl -i -X POST http://127.0.0.1:" + clients + "/" + name
+            out.println("  curl -i -X POST http://127.0.0.1:" + clientPort + "/" + name
                     + " -H 'X-Txn: '$RANDOM$RANDOM"
                     + (name.equals("cierre") ? " -H 'Idempotency-Key: k1'" : "") + " -d 'hello'");
         }
-        out.println("\nWhat became of a few jobs:");
+        out.println("\nExample jobs and their results:");
     }
 
-    private void tryOut() throws Exception {
+    private void sendExampleJobs() throws Exception {
         HttpClient client = HttpClient.newHttpClient();
         send(client, "/estado", "d1", null, "hello");
         send(client, "/historial", "d2", null, "hello");
@@ -146,30 +148,30 @@
     }
 
     private void send(HttpClient client, String path, String id, String key, String body) throws Exception {
-        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + clients + path))
+        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + clientPort + path))
                 .header("X-Txn", id)
                 .POST(HttpRequest.BodyPublishers.ofString(body));
         if (key != null) {
             request.header("Idempotency-Key", key);
         }
         out.printf("  POST %-11s%s '%s' -> ", path, key == null ? "" : " (key " + key + ")", body);
-        for (int tries = 0; tries < TRIES; tries++) {
+        for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             HttpResponse<String> answer = client.send(
-                    request.setHeader("X-Txn", id + "-" + tries).build(), HttpResponse.BodyHandlers.ofString());
+                    request.setHeader("X-Txn", id + "-" + attempt).build(), HttpResponse.BodyHandlers.ofString());
             if (answer.statusCode() != 503) {
                 out.println(answer.statusCode() + " " + answer.body());
                 return;
             }
             String seconds = answer.headers().firstValue("Retry-After").orElse("1");
-            out.print("503, come back in " + seconds + " s -> ");
+            out.print("503, retry in " + seconds + " s -> ");
             Thread.sleep((long) (Double.parseDouble(seconds) * 1_000));
         }
-        out.println("given up");
+        out.println("no attempts left");
     }
 
     private void push(String job) throws IOException {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), faktory)) {
-            socket.setSoTimeout(FAKTORY_WAIT);
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), faktoryPort)) {
+            socket.setSoTimeout(FAKTORY_TIMEOUT_MS);
             var in = new java.io.BufferedReader(
                     new java.io.InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
             in.readLine();
--- a/src/main/java/gorserill/program/demo/FakeAddressRegistry.java
+++ b/src/main/java/gorserill/program/demo/FakeAddressRegistry.java
@@ -12,26 +12,29 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.BiConsumer;
 
-/** Where a service address is announced by {@code PUT}, and a proxy that sends each connection there. */
+/**
+ * A registry in which a node announces the service address by {@code PUT}, and a TCP proxy that forwards each
+ * connection to the announced address.
+ */
 public final class FakeAddressRegistry extends LoopbackHttpServer {
-    private final ServerSocket proxy = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private final BiConsumer<String, Long> heard;
+    private final ServerSocket proxySocket = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
+    private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
+    private final BiConsumer<String, Long> listener;
     private volatile String value;
     private long epoch;
 
-    /** @param heard is told of each address that was taken, and its epoch */
-    public FakeAddressRegistry(BiConsumer<String, Long> heard) throws IOException {
-        this.heard = heard;
-        daemon("proxy", this::pass);
+    /** @param listener receives each accepted address and its epoch */
+    public FakeAddressRegistry(BiConsumer<String, Long> listener) throws IOException {
+        this.listener = listener;
+        startDaemon("proxy", this::acceptClients);
     }
 
-    /** Where clients come. */
+    /** Returns the address of the proxy, to which clients connect. */
     public InetSocketAddress proxyAddress() {
-        return (InetSocketAddress) proxy.getLocalSocketAddress();
+        return (InetSocketAddress) proxySocket.getLocalSocketAddress();
     }
 
-    /** The address that was announced last; null where none was. */
+    /** Returns the address announced last, or null if there is none. */
     public String announcedAddress() {
         return value;
     }
@@ -39,51 +42,51 @@
     @Override
     void respond(Request request, Socket connection) throws IOException {
         if (request.method().equals("GET")) {
-            String at = value == null ? "" : value;
-            write(connection, "HTTP/1.1 200 OK\r\nContent-Length: " + at.length() + "\r\n\r\n" + at);
+            String body = value == null ? "" : value;
+            write(connection, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             return;
         }
-        long its = Long.parseLong(request.headers().getOrDefault("x-epoch", "0"));
-        boolean late;
+        long requestEpoch = Long.parseLong(request.headers().getOrDefault("x-epoch", "0"));
+        boolean stale;
         synchronized (this) {
-            late = its < epoch;
-            if (!late) {
-                epoch = its;
+            stale = requestEpoch < epoch;
+            if (!stale) {
+                epoch = requestEpoch;
                 value = new String(request.body(), StandardCharsets.UTF_8);
-                heard.accept(value, its);
+                listener.accept(value, requestEpoch);
             }
         }
-        write(connection, "HTTP/1.1 " + (late ? "409 Conflict" : "204 No Content") + "\r\nContent-Length: 0\r\n\r\n");
+        write(connection, "HTTP/1.1 " + (stale ? "409 Conflict" : "204 No Content") + "\r\nContent-Length: 0\r\n\r\n");
     }
 
-    private void pass() {
-        while (!proxy.isClosed()) {
+    private void acceptClients() {
+        while (!proxySocket.isClosed()) {
             try {
-                Socket client = proxy.accept();
-                String at = value;
-                if (at == null) {
+                Socket client = proxySocket.accept();
+                String target = value;
+                if (target == null) {
                     client.close();
                     continue;
                 }
-                open.add(client);
-                daemon("way in", () -> join(client, at));
+                sockets.add(client);
+                startDaemon("client to node", () -> forward(client, target));
             } catch (IOException e) {
-                // The end, or a client that is gone.
+                // The proxy was closed, or the client disconnected.
             }
         }
     }
 
-    private void join(Socket client, String at) {
-        int colon = at.lastIndexOf(':');
+    private void forward(Socket client, String target) {
+        int colon = target.lastIndexOf(':');
         try (client;
-                Socket node = new Socket(at.substring(0, colon), Integer.parseInt(at.substring(colon + 1)))) {
-            open.add(node);
-            daemon("way out", () -> copy(node, client));
+                Socket node = new Socket(target.substring(0, colon), Integer.parseInt(target.substring(colon + 1)))) {
+            sockets.add(node);
+            startDaemon("node to client", () -> copy(node, client));
             copy(client, node);
         } catch (IOException e) {
-            // The node is not there: the client finds its connection closed.
+            // The node is unreachable; closing the connection reports that to the client.
         } finally {
-            open.remove(client);
+            sockets.remove(client);
         }
     }
 
@@ -97,7 +100,7 @@
             close(from);
             close(to);
         } finally {
-            open.remove(from);
+            sockets.remove(from);
         }
     }
 
@@ -105,14 +108,14 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // It is closed.
+            // The socket is closed either way.
         }
     }
 
     @Override
     public void close() throws IOException {
-        proxy.close();
-        open.forEach(FakeAddressRegistry::close);
+        proxySocket.close();
+        sockets.forEach(FakeAddressRegistry::close);
         super.close();
     }
 }
--- a/src/main/java/gorserill/program/demo/FakeDiscovery.java
+++ b/src/main/java/gorserill/program/demo/FakeDiscovery.java
@@ -5,19 +5,19 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Discovery with a list that never changes. */
+/** A discovery service whose list of workers does not change while a node runs. */
 public final class FakeDiscovery extends LoopbackHttpServer {
     private volatile List<FakeHttpWorker> workers = List.of();
 
     public FakeDiscovery() throws IOException {
-        // Nothing to set up: the list comes by setWorkers().
+        // The workers are set by setWorkers().
     }
 
-    public void setWorkers(List<FakeHttpWorker> all) {
-        workers = List.copyOf(all);
+    public void setWorkers(List<FakeHttpWorker> list) {
+        workers = List.copyOf(list);
     }
 
-    /** The workers as entries of a listing. */
+    /** Returns the workers as JSON endpoint entries, without the enclosing array. */
     public static String endpointEntries(List<FakeHttpWorker> workers) {
         return workers.stream()
                 .map(worker -> """
@@ -28,14 +28,14 @@
 
     @Override
     void respond(Request request, Socket connection) throws IOException, InterruptedException {
-        boolean whole = !request.target().contains("index=");
-        if (!whole) {
-            // A watch waits for changes as long as it says; there are none.
+        boolean snapshot = !request.target().contains("index=");
+        if (!snapshot) {
+            // A watch blocks for its wait time; the list has no changes to report.
             Thread.sleep(
                     Long.parseLong(request.target().replaceFirst(".*wait=", "").replaceFirst("\\D.*", "")));
         }
-        String text = "{\"index\":2,\"snapshot\":" + whole + ",\"endpoints\":["
-                + (whole ? endpointEntries(workers) : "") + "]}";
+        String text = "{\"index\":2,\"snapshot\":" + snapshot + ",\"endpoints\":["
+                + (snapshot ? endpointEntries(workers) : "") + "]}";
         write(connection, "HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text);
     }
 }
--- a/src/main/java/gorserill/program/demo/FakeHttpWorker.java
+++ b/src/main/java/gorserill/program/demo/FakeHttpWorker.java
@@ -7,12 +7,13 @@
 import java.util.function.Function;
 
 /**
- * A worker of the platform's protocol that does nothing, slowly or badly as it is told, and counts. A job
- * counts as run from the moment that the worker says so, or that it could have begun: whatever breaks after
- * its last byte.
+ * A worker that implements the platform's protocol without doing work. It answers each job as configured
+ * (delayed, failed or with a connection reset) and counts runs. A job counts as run once its last byte was
+ * received, since the worker could have started it by then, even if
+ * the connection fails later.
  */
 public final class FakeHttpWorker extends LoopbackHttpServer {
-    /** What a worker does with a job that it was sent. */
+    /** The outcome that the worker produces for a job. {@link #LATE} is {@link #DONE} after a long delay. */
     public enum Kind {
         DONE,
         FAILED,
@@ -21,19 +22,19 @@
     }
 
     /**
-     * How it does it.
+     * The response to a job.
      *
-     * @param durationMs that it takes
-     * @param result a JSON value, where it is done
+     * @param durationMs delay before the outcome
+     * @param result the result as JSON, unless the job fails
      */
     public record Reaction(Kind kind, int durationMs, String result) {}
 
     /**
-     * A job as it came.
+     * A job as received.
      *
-     * @param key null where it has none
-     * @param fence null where it has none
-     * @param run which run of its id this is, over all workers with the same counts, from 1
+     * @param key null if absent
+     * @param fence null if absent
+     * @param run number of this run of the id, from 1, over all workers that share the run counts
      */
     public record Job(String lane, String id, String key, String fence, byte[] body, int run) {}
 
@@ -42,9 +43,9 @@
     private final Map<String, Integer> runs;
 
     /**
-     * A worker.
+     * Starts a worker.
      *
-     * @param runs by id, shared among workers
+     * @param runs run counts by job id, which several workers may share
      */
     public FakeHttpWorker(String name, Map<String, Integer> runs, Function<Job, Reaction> behaviour)
             throws IOException {
@@ -53,7 +54,7 @@
         this.behaviour = behaviour;
     }
 
-    /** Counts that several workers can share. */
+    /** Returns run counts that several workers can share. */
     public static Map<String, Integer> newRunCounts() {
         return new ConcurrentHashMap<>();
     }
@@ -75,15 +76,15 @@
                 run));
         if (reaction.kind() == Kind.RESET) {
             Thread.sleep(reaction.durationMs());
-            // Without lingering, a close is a reset.
+            // With a linger time of 0, close() sends a reset.
             connection.setSoLinger(true, 0);
             connection.close();
             return;
         }
         write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        chunk(connection, "{\"state\":\"started\"}\n");
+        writeChunk(connection, "{\"state\":\"started\"}\n");
         Thread.sleep(reaction.durationMs());
-        chunk(
+        writeChunk(
                 connection,
                 reaction.kind() == Kind.FAILED
                         ? "{\"state\":\"failed\"}\n"
@@ -91,7 +92,7 @@
         write(connection, "0\r\n\r\n");
     }
 
-    private static void chunk(Socket connection, String text) throws IOException {
+    private static void writeChunk(Socket connection, String text) throws IOException {
         write(connection, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 }
--- a/src/main/java/gorserill/program/demo/LoopbackHttpServer.java
+++ b/src/main/java/gorserill/program/demo/LoopbackHttpServer.java
@@ -17,42 +17,43 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A server of HTTP/1.1 on a loopback port of its own, a thread for each connection: plain rather than fast.
+ * A minimal HTTP/1.1 server on an ephemeral loopback port, with one thread per connection; simplicity takes
+ * precedence over throughput.
  */
 abstract class LoopbackHttpServer implements Closeable {
-    private final ServerSocket server = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final ServerSocket serverSocket = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
+    private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
 
     LoopbackHttpServer() throws IOException {
-        // Danger: a thread that isn't a daemon would outlive a demo that is broken off.
-        daemon("accept", this::accept);
+        // Non-daemon threads would keep the process alive after an interrupted demo.
+        startDaemon("accept", this::accept);
     }
 
-    static void daemon(String what, Runnable run) {
-        Thread thread = new Thread(run, "stand-in " + what);
+    static void startDaemon(String role, Runnable task) {
+        Thread thread = new Thread(task, "fake server " + role);
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** A request, its headers by lower-case names. */
+    /** A request; header names are in lower case. */
     record Request(String method, String target, Map<String, String> headers, byte[] body) {}
 
-    /** Answers a request on its connection. */
+    /** Writes the response to a request on its connection. */
     abstract void respond(Request request, Socket connection) throws IOException, InterruptedException;
 
     public InetSocketAddress address() {
-        return (InetSocketAddress) server.getLocalSocketAddress();
+        return (InetSocketAddress) serverSocket.getLocalSocketAddress();
     }
 
     private void accept() {
-        while (!server.isClosed()) {
+        while (!serverSocket.isClosed()) {
             try {
-                Socket socket = server.accept();
+                Socket socket = serverSocket.accept();
                 socket.setTcpNoDelay(true);
-                open.add(socket);
-                daemon("connection", () -> serve(socket));
+                connections.add(socket);
+                startDaemon("connection", () -> serve(socket));
             } catch (IOException e) {
-                // The end, or a connection that was gone before it was accepted.
+                // The server was closed, or the client disconnected before it was accepted.
             }
         }
     }
@@ -60,36 +61,36 @@
     private void serve(Socket socket) {
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (Request request = read(in); request != null; request = read(in)) {
+            for (Request request = readRequest(in); request != null; request = readRequest(in)) {
                 respond(request, socket);
             }
         } catch (IOException e) {
-            // The node has left, or was to be left.
+            // The node or this server closed the connection.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            open.remove(socket);
+            connections.remove(socket);
         }
     }
 
-    private static Request read(InputStream in) throws IOException {
-        String[] first = line(in).split(" ");
-        if (first.length < 2) {
+    private static Request readRequest(InputStream in) throws IOException {
+        String[] requestLine = readLine(in).split(" ");
+        if (requestLine.length < 2) {
             return null;
         }
         Map<String, String> headers = new HashMap<>();
-        for (String line = line(in); !line.isEmpty(); line = line(in)) {
+        for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
             int colon = line.indexOf(':');
             headers.put(
                     line.substring(0, colon).toLowerCase(Locale.ROOT),
                     line.substring(colon + 1).strip());
         }
         byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
-        return new Request(first[0], first[1], headers, body);
+        return new Request(requestLine[0], requestLine[1], headers, body);
     }
 
-    /** Without its end; empty at the end of the stream. */
-    private static String line(InputStream in) throws IOException {
+    /** Reads a line without its terminator; empty at the end of the stream. */
+    private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b >= 0 && b != '\n'; b = in.read()) {
             line.write(b);
@@ -103,8 +104,8 @@
 
     @Override
     public void close() throws IOException {
-        server.close();
-        for (Socket socket : open) {
+        serverSocket.close();
+        for (Socket socket : connections) {
             socket.close();
         }
     }
--- a/src/main/java/gorserill/program/demo/package-info.java
+++ b/src/main/java/gorserill/program/demo/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Stand-ins for what a node needs around it, made for this project from the platform's protocol, and the demo
- * that runs them. They listen on loopback only.
+ * The demo, and fake servers for a node's dependencies: worker, discovery and address registry. They implement the
+ * platform's protocol for demo, drills and tests, and listen on loopback only.
  */
 package gorserill.program.demo;
