--- a/src/main/java/gorserill/cluster/address/Address.java
+++ b/src/main/java/gorserill/cluster/address/ServiceAddress.java
@@ -1,10 +1,10 @@
 package gorserill.cluster.address;
 
-import gorserill.cluster.Ground;
-import gorserill.cluster.address.Announcer.Told;
-import gorserill.cluster.member.Duty;
+import gorserill.cluster.ClusterEnvironment;
+import gorserill.cluster.address.Announcer.AnnounceResult;
 import gorserill.cluster.member.Member;
-import gorserill.cluster.member.Member.Claimed;
+import gorserill.cluster.member.Member.ClaimResult;
+import gorserill.cluster.member.PieceHandler;
 import java.util.SortedSet;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
@@ -15,12 +15,12 @@
  * was stalled on its way to the registry wakes up late; a registry that looks at epochs turns it away, at any
  * other the owner's next announcement, which comes each {@code refresh}, puts that right.
  */
-public final class Address implements Duty {
+public final class ServiceAddress implements PieceHandler {
     private static final long AGAIN = 50;
 
     private final String value;
     private final long refresh;
-    private final Ground ground;
+    private final ClusterEnvironment ground;
     private final Announcer announcer;
     private final BiConsumer<Long, String> teller;
     private Member member;
@@ -36,7 +36,12 @@
      * @param refresh milliseconds between announcements
      * @param teller hears the epoch and what was done, for the log
      */
-    public Address(String value, long refresh, Ground ground, Announcer announcer, BiConsumer<Long, String> teller) {
+    public ServiceAddress(
+            String value,
+            long refresh,
+            ClusterEnvironment ground,
+            Announcer announcer,
+            BiConsumer<Long, String> teller) {
         this.value = value;
         this.refresh = refresh;
         this.ground = ground;
@@ -45,16 +50,16 @@
     }
 
     /** The member that claims; to be told before it starts. */
-    public void member(Member its) {
+    public void setMember(Member its) {
         member = its;
     }
 
     /** Tells whether clients are sent elsewhere, as far as is known. */
-    public void elsewhere(Consumer<Boolean> then) {
+    public void checkAnnouncedElsewhere(Consumer<Boolean> then) {
         if (piece == null) {
             then.accept(true);
         } else {
-            announcer.look(at -> then.accept(at != null && !at.equals(value)));
+            announcer.lookUp(at -> then.accept(at != null && !at.equals(value)));
         }
     }
 
@@ -79,12 +84,12 @@
             return;
         }
         member.claim(piece, act, false, answer -> {
-            if (answer == Claimed.YES) {
+            if (answer == ClaimResult.GRANTED) {
                 announce(under, act);
             } else {
                 // Danger: a number that an owner before has used is no reason to leave the address
                 // unannounced.
-                ground.after(AGAIN, () -> claim(under, answer == Claimed.NO ? act + 1 : act));
+                ground.after(AGAIN, () -> claim(under, answer == ClaimResult.REFUSED ? act + 1 : act));
             }
         });
     }
@@ -100,16 +105,18 @@
             if (epoch == under) {
                 busy = false;
             }
-            if (act > 0 || told == Told.TOO_LATE) {
-                teller.accept(under, told == Told.DONE ? "announced " + value : "not announced: " + told);
+            if (act > 0 || told == AnnounceResult.TOO_LATE) {
+                teller.accept(under, told == AnnounceResult.DONE ? "announced " + value : "not announced: " + told);
             }
-            if (told == Told.DONE) {
+            if (told == AnnounceResult.DONE) {
                 closed(under, act);
             }
             if (epoch == under && whenIdle != null) {
                 whenIdle.run();
-            } else if (told != Told.TOO_LATE) {
-                ground.after(told == Told.DONE ? refresh : AGAIN, () -> announce(under, told == Told.DONE ? 0 : act));
+            } else if (told != AnnounceResult.TOO_LATE) {
+                ground.after(
+                        told == AnnounceResult.DONE ? refresh : AGAIN,
+                        () -> announce(under, told == AnnounceResult.DONE ? 0 : act));
             }
         });
     }
--- a/src/main/java/gorserill/program/ClusterPart.java
+++ b/src/main/java/gorserill/program/ClusterPart.java
@@ -2,20 +2,20 @@
 
 import barrowflow.Dispatcher.Effect;
 import barrowflow.Dispatcher.Settings;
-import gorserill.cluster.BadMessage;
-import gorserill.cluster.Ground;
-import gorserill.cluster.address.Address;
-import gorserill.cluster.consensus.DiskShelf;
-import gorserill.cluster.member.Duty;
+import gorserill.cluster.ClusterEnvironment;
+import gorserill.cluster.MalformedMessageException;
+import gorserill.cluster.address.ServiceAddress;
+import gorserill.cluster.consensus.DiskStorage;
 import gorserill.cluster.member.Member;
-import gorserill.cluster.member.Terms;
+import gorserill.cluster.member.MemberConfig;
+import gorserill.cluster.member.PieceHandler;
 import gorserill.cluster.ownership.Register;
-import gorserill.cluster.shared.Door;
-import gorserill.cluster.shared.Retries;
-import gorserill.cluster.shared.Spender;
-import gorserill.cluster.standing.Standing;
-import gorserill.cluster.standing.Standing.End;
+import gorserill.cluster.shared.BudgetClient;
+import gorserill.cluster.shared.BudgetLimiter;
+import gorserill.cluster.shared.RetryBudget;
 import gorserill.cluster.standing.StandingJob;
+import gorserill.cluster.standing.StandingJobScheduler;
+import gorserill.cluster.standing.StandingJobScheduler.JobResult;
 import gorserill.common.Loop;
 import gorserill.routing.AdmissionControl;
 import gorserill.routing.Core;
@@ -43,7 +43,7 @@
  * it fires through the core like any front's. Danger: a voter waits for its disk, which must not hold up
  * jobs; so nothing of it runs on the core's loop.
  */
-final class ClusterPart implements Ground {
+final class ClusterPart implements ClusterEnvironment {
     private static final Logger LOG = Logger.getLogger(ClusterPart.class.getName());
     private static final int ADDRESSES = 1_024;
     /** Milliseconds in which staff are to be told. */
@@ -64,14 +64,14 @@
     private final ClusterConfig config;
     private final String node;
     private final DatagramTransport datagrams;
-    private final DiskShelf shelf;
+    private final DiskStorage shelf;
     private final Member member;
     /** Null where none is announced. */
-    private final Address address;
+    private final ServiceAddress address;
     /** Null where no budget is told. */
-    private final Door door;
+    private final BudgetLimiter door;
 
-    private final Spender spender;
+    private final BudgetClient spender;
     /** Addresses by name, as the file has them at present. */
     private Map<String, InetSocketAddress> members;
     /** Where nodes that no file names were heard from. */
@@ -98,19 +98,20 @@
         this.classNames = classNames;
         if (config.store() != null) {
             Files.createDirectories(config.store());
-            shelf = new DiskShelf(
+            shelf = new DiskStorage(
                     config.store().resolve("voter-" + NodeConfig.fileKey(node) + ".mv"), config.storeBytes());
         } else {
             shelf = null;
         }
-        Standing standing = new Standing(config.jobs(), this, System::currentTimeMillis, this::run, this::tell);
-        Map<String, Duty> duties = new LinkedHashMap<>();
-        standing.names().forEach(name -> duties.put(name, standing));
+        StandingJobScheduler standing =
+                new StandingJobScheduler(config.jobs(), this, System::currentTimeMillis, this::run, this::tell);
+        Map<String, PieceHandler> duties = new LinkedHashMap<>();
+        standing.jobNames().forEach(name -> duties.put(name, standing));
         address = config.address() == null ? null : address(config.address());
         if (address != null) {
             duties.put(ClusterConfig.ADDRESS, address);
         }
-        Terms terms = new Terms(
+        MemberConfig terms = new MemberConfig(
                 config.cluster(),
                 node,
                 UUID.randomUUID().toString(),
@@ -122,9 +123,9 @@
                 config.lease(),
                 config.drift());
         try {
-            member = new Member(terms, this, shelf, System.nanoTime(), Duty.of(duties), config.plants());
-            datagrams = new DatagramTransport(loop, config.listen(), Member.MOST + 1, this::heard);
-        } catch (BadMessage e) {
+            member = new Member(terms, this, shelf, System.nanoTime(), PieceHandler.of(duties), config.plants());
+            datagrams = new DatagramTransport(loop, config.listen(), Member.MAX_MESSAGE_BYTES + 1, this::heard);
+        } catch (MalformedMessageException e) {
             shelf.close();
             throw new IOException(config.store() + ": the voter's store: " + e.getMessage(), e);
         } catch (IOException e) {
@@ -133,18 +134,18 @@
             }
             throw new IOException(config.listen() + ": " + e.getMessage(), e);
         }
-        standing.member(member);
+        standing.setMember(member);
         if (!config.budgets().isEmpty()) {
-            door = new Door(config.budgets(), this::millis, this::demand);
-            spender = new Spender(
+            door = new BudgetLimiter(config.budgets(), this::millis, this::demand);
+            spender = new BudgetClient(
                     config.budgets(),
                     this,
-                    member.spends(),
+                    member.budgetLink(),
                     config.lease() / 10,
                     config.lease(),
-                    config.plants().contains(Member.Plant.GIVES_BACK_LATE),
-                    door::allows);
-            member.spender(spender);
+                    config.plants().contains(Member.InjectedFault.GIVES_BACK_LATE),
+                    door::updateAllowances);
+            member.setSpender(spender);
         } else {
             door = null;
             spender = null;
@@ -153,7 +154,7 @@
             core.setAdmissionControl(entry(door));
         }
         if (address != null) {
-            address.member(member);
+            address.setMember(member);
         }
         if (!config.plants().isEmpty()) {
             LOG.log(Level.SEVERE, "{0} runs with a planted fault, for a drill: {1}", new Object[] {node, config.plants()
@@ -161,8 +162,8 @@
         }
     }
 
-    private Address address(ClusterConfig.Announced its) {
-        return new Address(
+    private ServiceAddress address(ClusterConfig.Announced its) {
+        return new ServiceAddress(
                 its.value(),
                 its.refresh(),
                 this,
@@ -193,34 +194,35 @@
     }
 
     /** How the core asks; on its thread. */
-    private AdmissionControl entry(Door budgets) {
-        Retries retries = config.retries() == null || config.plants().contains(Member.Plant.RETRIES_UNBOUNDED)
+    private AdmissionControl entry(BudgetLimiter budgets) {
+        RetryBudget retries = config.retries() == null
+                        || config.plants().contains(Member.InjectedFault.RETRIES_UNBOUNDED)
                 ? null
-                : new Retries(
+                : new RetryBudget(
                         config.retries().percent() / 100.0, config.retries().saved());
         return new AdmissionControl() {
             @Override
             public long admissionDelay(long now, int jobClass, int tenant) {
-                return budgets == null ? 0 : budgets.enter(now, jobClass, tenant);
+                return budgets == null ? 0 : budgets.tryAdmit(now, jobClass, tenant);
             }
 
             @Override
             public boolean mayAttempt(boolean first) {
                 if (retries != null && first) {
-                    retries.first();
+                    retries.recordFirstAttempt();
                 }
-                return retries == null || first || retries.again();
+                return retries == null || first || retries.tryRetry();
             }
         };
     }
 
     private void demand(String budget, double perSecond) {
-        loop.execute(() -> spender.demand(budget, perSecond));
+        loop.execute(() -> spender.updateDemand(budget, perSecond));
     }
 
     /** Where no job comes any more, that has to be told as well. */
     private void tellDemand() {
-        door.tellDemand(coreLoop.now());
+        door.reportDemand(coreLoop.now());
         coreLoop.at(coreLoop.now() + DEMAND, this::tellDemand);
     }
 
@@ -248,7 +250,7 @@
             return;
         }
         loop.execute(() -> {
-            member.leaves(true);
+            member.setLeaving(true);
             if (config.outAtOnce() > 0) {
                 member.permit(config.outAtOnce(), true, config.lease(), answer -> {});
             }
@@ -277,7 +279,7 @@
         } else if (member.owns(ClusterConfig.ADDRESS)) {
             after(HANDING_STEP, () -> untilHandedOver(until, then));
         } else {
-            address.elsewhere(so -> {
+            address.checkAnnouncedElsewhere(so -> {
                 if (so) {
                     then.accept(true);
                 } else {
@@ -302,7 +304,7 @@
                 answer -> coreLoop.execute(() -> then.accept(
                         answer == null
                                 ? "no word of a leader in time, so it may not be out"
-                                : answer.done() ? null : answer.why()))));
+                                : answer.accepted() ? null : answer.reason()))));
     }
 
     /** It is back in service. */
@@ -352,10 +354,10 @@
             to.accept("fail this node does not serve yet, and is no member before it does\n");
             return;
         }
-        Consumer<Register.Answer> told = answer -> back.accept(
+        Consumer<Register.CommandResult> told = answer -> back.accept(
                 answer == null
                         ? "fail no word of a leader in time; it may be done or not, so look\n"
-                        : answer.done() ? "ok\n" : "fail " + answer.why() + "\n");
+                        : answer.accepted() ? "ok\n" : "fail " + answer.reason() + "\n");
         String what = about.isBlank() ? "status" : words[0];
         loop.execute(() -> {
             if (ClusterView.has(what) && words.length == 1) {
@@ -398,7 +400,7 @@
     }
 
     private void heard(InetSocketAddress from, byte[] message) {
-        String name = member.heard(message);
+        String name = member.receive(message);
         if (name != null && !members.containsKey(name) && (learned.size() < ADDRESSES || learned.containsKey(name))) {
             learned.put(name, from);
         }
@@ -412,10 +414,10 @@
         });
     }
 
-    private void run(StandingJob job, long time, long epoch, int attempt, Consumer<End> then) {
+    private void run(StandingJob job, long time, long epoch, int attempt, Consumer<JobResult> then) {
         int index = classNames.indexOf(job.jobClass());
         String key = "standing-" + job.name() + "-" + time;
-        Consumer<End> back = end -> loop.execute(() -> then.accept(end));
+        Consumer<JobResult> back = end -> loop.execute(() -> then.accept(end));
         coreLoop.execute(() -> {
             String id = key + "-" + attempt + "-" + Long.toHexString(System.nanoTime());
             boolean keyed = settings.classes().get(index).effect() == Effect.KEYED;
@@ -442,20 +444,20 @@
         });
     }
 
-    private record Answering(Consumer<End> to) implements ResponseHandler {
+    private record Answering(Consumer<JobResult> to) implements ResponseHandler {
         @Override
         public void served(byte[] result) {
-            to.accept(End.SERVED);
+            to.accept(JobResult.SERVED);
         }
 
         @Override
         public void refused(long waitMicros) {
-            to.accept(End.REFUSED);
+            to.accept(JobResult.REFUSED);
         }
 
         @Override
         public void failed() {
-            to.accept(End.FAILED);
+            to.accept(JobResult.FAILED);
         }
     }
 }
--- a/src/main/java/gorserill/program/command/DrillCommand.java
+++ b/src/main/java/gorserill/program/command/DrillCommand.java
@@ -1,8 +1,8 @@
 package gorserill.program.command;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import gorserill.cluster.lab.Explorer;
-import gorserill.cluster.lab.Lab;
+import gorserill.cluster.lab.ClusterSimulation;
+import gorserill.cluster.lab.FaultExplorer;
 import gorserill.cluster.lab.Traffic;
 import gorserill.cluster.member.Member;
 import gorserill.program.drill.Drill;
@@ -141,7 +141,7 @@
         }
         String plantName = plant.isEmpty()
                 ? ""
-                : parseEnum(Member.Plant.class, "--plant", plant).name();
+                : parseEnum(Member.InjectedFault.class, "--plant", plant).name();
         Path folder = report != null ? report : Files.createTempDirectory("gorserill-drill");
         PrintStream out = new PrintStream(System.out, true);
         Drill.Plan plan = new Drill.Plan(piece, nodes, seconds, seed, kinds, plantName, folder);
@@ -168,23 +168,23 @@
         if (steps < 1 || steps > 2_000 || depth < 1 || depth > 2) {
             throw invalid("--steps " + steps + " is not from 1 to 2000, or --depth " + depth + " is not 1 or 2");
         }
-        Set<Member.Plant> plants = EnumSet.noneOf(Member.Plant.class);
+        Set<Member.InjectedFault> plants = EnumSet.noneOf(Member.InjectedFault.class);
         if (!plant.isEmpty()) {
-            plants.add(parseEnum(Member.Plant.class, "--plant", plant));
+            plants.add(parseEnum(Member.InjectedFault.class, "--plant", plant));
         }
-        Explorer.Found found =
-                Explorer.run(seed, parseEnum(Lab.Scene.class, "--scene", scene), 0, steps, depth, plants);
-        if (found.violated() != null) {
-            System.out.println(found.violated() + "\n  "
+        FaultExplorer.Result found = FaultExplorer.run(
+                seed, parseEnum(ClusterSimulation.Scenario.class, "--scene", scene), 0, steps, depth, plants);
+        if (found.violatingFaults() != null) {
+            System.out.println(found.violatingFaults() + "\n  "
                     + String.join("\n  ", found.outcome().history()));
         }
         System.out.println("drill explore seed " + seed + ": "
-                + (found.violated() == null
+                + (found.violatingFaults() == null
                         ? "ok"
                         : "violated: " + found.outcome().violation()) + " (" + found.runs() + " runs, "
                 + found.distinct()
-                + " of them distinct, " + found.acts() + " acts)");
-        return found.violated() == null;
+                + " of them distinct, " + found.actsRun() + " acts)");
+        return found.violatingFaults() == null;
     }
 
     /** Simulates the members in virtual time, which is about 100 times as fast and deterministic for a seed. */
@@ -192,20 +192,20 @@
         if (nodes < 1 || nodes > MAX_LAB_NODES || seconds < 10 || seconds > 600) {
             throw invalid("for lab, --nodes must be from 1 to " + MAX_LAB_NODES + " and --seconds from 10 to 600");
         }
-        Set<Lab.Fault> kinds = EnumSet.noneOf(Lab.Fault.class);
+        Set<ClusterSimulation.Fault> kinds = EnumSet.noneOf(ClusterSimulation.Fault.class);
         if (faults == null) {
-            kinds.addAll(EnumSet.allOf(Lab.Fault.class));
+            kinds.addAll(EnumSet.allOf(ClusterSimulation.Fault.class));
         } else {
-            faults.forEach(fault -> kinds.add(parseEnum(Lab.Fault.class, "--faults", fault)));
+            faults.forEach(fault -> kinds.add(parseEnum(ClusterSimulation.Fault.class, "--faults", fault)));
         }
-        Set<Member.Plant> plants = EnumSet.noneOf(Member.Plant.class);
+        Set<Member.InjectedFault> plants = EnumSet.noneOf(Member.InjectedFault.class);
         if (!plant.isEmpty()) {
-            plants.add(parseEnum(Member.Plant.class, "--plant", plant));
+            plants.add(parseEnum(Member.InjectedFault.class, "--plant", plant));
         }
         PrintStream out = System.out;
-        Lab.Sum sum = new Lab.Sum();
+        ClusterSimulation.RunSummary sum = new ClusterSimulation.RunSummary();
         LongStream.rangeClosed(range[0], range[1]).parallel().forEach(s -> {
-            Lab.Outcome outcome = Lab.run(new Lab.Plan(
+            ClusterSimulation.Outcome outcome = ClusterSimulation.run(new ClusterSimulation.Plan(
                     nodes, nodes >= 5 && nodes % 2 == 1 ? 5 : Math.min(3, nodes), seconds, s, kinds, plants));
             if (sum.add(outcome)) {
                 out.println("drill lab seed " + s + ": violated: " + outcome.violation() + "\n  "
