--- a/src/main/java/gorserill/program/ClusterConfig.java
+++ b/src/main/java/gorserill/program/ClusterConfig.java
@@ -22,37 +22,43 @@
 import java.util.TreeSet;
 
 /**
- * The cluster's file: who the members are, which of them vote, and the standing jobs.
+ * The cluster configuration file: members, voters, timing, standing jobs, budgets and the service address.
  *
- * @param members addresses by name; nodes that are not among them are answered where they speak from
- * @param store the folder of what a voter must not forget; null at a node that is not to vote
- * @param storeBytes that it may take
- * @param retries null where they are not bounded beyond each job's own attempts
- * @param outAtOnce nodes that may be out of service at once; 0 where that is not bounded
- * @param address what is announced of this node, and where; null where nothing is
- * @param rate a second of this node's cluster in seconds of its clock; other than 1 in drills alone
+ * @param members addresses by node name; other nodes are answered at the source address of their messages
+ * @param storeFolder folder for a voter's persistent state; null on a node that may not vote
+ * @param storeBytes size limit of that state
+ * @param heartbeatMs heartbeat interval, in milliseconds
+ * @param leaseMs lease duration, in milliseconds
+ * @param drift assumed clock drift, as a fraction
+ * @param retries null if only the per-job limit on attempts applies
+ * @param maxOutOfService number of nodes that may be out of service at the same time; 0 for no limit
+ * @param address the service address to announce; null if there is none
+ * @param clockRate ratio of the member's time to this node's clock; other than 1 only in drills
+ * @param plants faults injected for drills
  */
 record ClusterConfig(
         String cluster,
         InetSocketAddress listen,
         Map<String, InetSocketAddress> members,
         List<String> voters,
-        Path store,
+        Path storeFolder,
         long storeBytes,
-        long beat,
-        long lease,
+        long heartbeatMs,
+        long leaseMs,
         double drift,
         List<StandingJob> jobs,
         List<Budget> budgets,
-        Retries retries,
-        int outAtOnce,
-        Announced address,
-        double rate,
+        RetryLimit retries,
+        int maxOutOfService,
+        AddressAnnouncement address,
+        double clockRate,
         Set<Member.InjectedFault> plants) {
-    /** The piece that is the service address. */
+    /** Name of the ownership piece for the service address. */
     static final String ADDRESS = "address";
 
-    private static final int MOST_JOBS = 64;
+    /** Limit on standing jobs, and on budgets. */
+    private static final int MAX_ENTRIES = 64;
+
     private static final Set<String> BUDGET_KEYS =
             Set.of("class", "tenant", "per_s", "burst", "floor_percent", "nodes", "mode");
     private static final Set<String> KEYS = Set.of(
@@ -75,22 +81,23 @@
             "clock_percent");
 
     /**
-     * The service address.
+     * The service address to announce.
      *
      * @param registry where it is announced, by PUT
-     * @param value this node's own
+     * @param value the address of this node
+     * @param refreshMs interval at which it is announced again, in milliseconds
      */
-    record Announced(URI registry, String value, long refresh) {}
+    record AddressAnnouncement(URI registry, String value, long refreshMs) {}
 
     /**
-     * Further attempts.
+     * The limit on retries at this node.
      *
-     * @param percent of first ones
-     * @param saved that a node may have in hand
+     * @param percent retries allowed per 100 first attempts
+     * @param saved greatest number of unused retries that a node accumulates
      */
-    record Retries(long percent, long saved) {}
+    record RetryLimit(long percent, long saved) {}
 
-    /** What the file says, checked; null where there is none or it does not enable the cluster. */
+    /** Reads and validates the file; returns null if it is missing or does not enable the cluster. */
     static ClusterConfig read(
             Path file, String node, Map<String, JobClassInfo> classes, List<String> tenants, int dispatchers)
             throws ConfigException {
@@ -104,7 +111,7 @@
             if (!KEYS.contains(value.getKey().split("\\.")[0])) {
                 throw new ConfigException(
                         file + ": " + value.getKey(),
-                        "is no key of a cluster's file; these " + "are: " + new TreeSet<>(KEYS));
+                        "is not a key of the cluster file; known keys: " + new TreeSet<>(KEYS));
             }
             if (value.getKey().startsWith("members.")) {
                 members.put(
@@ -116,33 +123,33 @@
         }
         List<String> voters = List.of(text(file, values, "voters").split(" *, *"));
         if (voters.size() % 2 == 0 || voters.size() > 5 || Set.copyOf(voters).size() != voters.size()) {
-            throw new ConfigException(file + ": voters", "name 1, 3 or 5 different nodes, not " + voters);
+            throw new ConfigException(file + ": voters", "must name 1, 3 or 5 different nodes, not " + voters);
         }
         for (String voter : voters) {
             if (voter.contains("#")) {
-                throw new ConfigException(file + ": voters", "a voter's name has no #, unlike " + voter);
+                throw new ConfigException(file + ": voters", "the name of a voter must not contain #: " + voter);
             } else if (!members.containsKey(voter) && !voter.equals(node)) {
-                throw new ConfigException(file + ": members." + voter, "is missing: its address, as a voter's");
+                throw new ConfigException(file + ": members." + voter, "is missing; each voter needs an address");
             }
         }
-        long beat = number(file, values, "beat_ms", 200, 20, 10_000);
-        long lease = number(file, values, "lease_ms", 3_000, 10 * beat, 600_000);
-        if (jobNames.size() > MOST_JOBS) {
-            throw new ConfigException(file + ": standing", jobNames.size() + " jobs, " + MOST_JOBS + " at most");
+        long heartbeatMs = number(file, values, "beat_ms", 200, 20, 10_000);
+        long leaseMs = number(file, values, "lease_ms", 3_000, 10 * heartbeatMs, 600_000);
+        if (jobNames.size() > MAX_ENTRIES) {
+            throw new ConfigException(file + ": standing", jobNames.size() + " jobs; the limit is " + MAX_ENTRIES);
         }
         List<StandingJob> jobs = new ArrayList<>();
-        // Danger: flattened, texts lose their commas and spaces; a job's body must come as it was written.
+        // The flattened values lose commas and spaces; job bodies are taken unchanged from the JSON tree.
         JsonNode tree;
         try {
             tree = new ObjectMapper().readTree(file.toFile());
         } catch (IOException e) {
-            throw new ConfigException(file.toString(), "can't be read: " + e.getMessage());
+            throw new ConfigException(file.toString(), "cannot be read: " + e.getMessage());
         }
         for (String name : jobNames) {
             if (!name.matches("[A-Za-z0-9_-]{1,40}") || name.equals(ADDRESS)) {
                 throw new ConfigException(
                         file + ": standing." + name,
-                        "a job's name is of letters, digits, - and _, 40 at most, and not " + ADDRESS);
+                        "a job name must have 1 to 40 letters, digits, - or _, and must not be " + ADDRESS);
             }
             JsonNode body = tree.path("standing").path(name).path("body");
             jobs.add(job(file, values, name, body.isContainerNode() ? body.toString() : body.asText(), classes));
@@ -154,8 +161,8 @@
                 voters,
                 voters.contains(node) || values.containsKey("store") ? Path.of(text(file, values, "store")) : null,
                 number(file, values, "store_kb", 65_536, 16, 16_777_216) << 10,
-                beat,
-                lease,
+                heartbeatMs,
+                leaseMs,
                 number(file, values, "drift_percent", 5, 0, 25) / 100.0,
                 jobs,
                 budgets(file, tree.path("budgets"), classes, tenants, dispatchers),
@@ -166,11 +173,11 @@
                 plants(file, values));
     }
 
-    private static Retries retries(Path file, Map<String, String> values) throws ConfigException {
-        boolean said = values.keySet().stream().anyMatch(key -> key.startsWith("retries."));
-        return !said
+    private static RetryLimit retries(Path file, Map<String, String> values) throws ConfigException {
+        boolean configured = values.keySet().stream().anyMatch(key -> key.startsWith("retries."));
+        return !configured
                 ? null
-                : new Retries(
+                : new RetryLimit(
                         number(file, values, "retries.percent", 20, 0, 1_000),
                         number(file, values, "retries.saved", 20, 1, 100_000));
     }
@@ -180,49 +187,52 @@
             throws ConfigException {
         List<Budget> budgets = new ArrayList<>();
         for (java.util.Iterator<Map.Entry<String, JsonNode>> i = all.fields(); i.hasNext(); ) {
-            Map.Entry<String, JsonNode> one = i.next();
-            String at = file + ": budgets." + one.getKey();
-            Map<String, String> its = new java.util.TreeMap<>();
-            one.getValue()
+            Map.Entry<String, JsonNode> entry = i.next();
+            String at = file + ": budgets." + entry.getKey();
+            Map<String, String> fields = new java.util.TreeMap<>();
+            entry.getValue()
                     .fields()
                     .forEachRemaining(
-                            field -> its.put(field.getKey(), field.getValue().asText()));
-            for (String key : its.keySet()) {
+                            field -> fields.put(field.getKey(), field.getValue().asText()));
+            for (String key : fields.keySet()) {
                 if (!BUDGET_KEYS.contains(key)) {
-                    throw new ConfigException(at + "." + key, "is none of " + new TreeSet<>(BUDGET_KEYS));
+                    throw new ConfigException(
+                            at + "." + key, "is not a key of a budget; known keys: " + new TreeSet<>(BUDGET_KEYS));
                 }
             }
-            String jobClass = its.get("class");
-            String tenant = its.get("tenant");
+            String jobClass = fields.get("class");
+            String tenant = fields.get("tenant");
             if (jobClass != null && !classes.containsKey(jobClass)) {
                 throw new ConfigException(
-                        at + ".class", "class '" + jobClass + "' is not among the settings' " + classes.keySet());
+                        at + ".class",
+                        "class '" + jobClass + "' is not in the settings; known classes: " + classes.keySet());
             } else if (tenant != null && !tenants.contains(tenant)) {
-                throw new ConfigException(at + ".tenant", "tenant '" + tenant + "' is not among the settings'");
-            } else if (!Set.of("hard", "soft").contains(its.getOrDefault("mode", "hard"))) {
-                throw new ConfigException(at + ".mode", "must be hard or soft, not '" + its.get("mode") + "'");
+                throw new ConfigException(at + ".tenant", "tenant '" + tenant + "' is not in the settings");
+            } else if (!Set.of("hard", "soft").contains(fields.getOrDefault("mode", "hard"))) {
+                throw new ConfigException(at + ".mode", "must be hard or soft, not '" + fields.get("mode") + "'");
             }
             budgets.add(new Budget(
-                    one.getKey(),
+                    entry.getKey(),
                     jobClass == null ? -1 : classes.get(jobClass).index(),
                     tenant == null ? -1 : tenants.indexOf(tenant),
-                    number(at, its, "per_s", 0, 1, 1_000_000),
-                    number(at, its, "burst", 1, 1, 1_000_000),
-                    (int) number(at, its, "floor_percent", 20, 0, 100),
-                    (int) number(at, its, "nodes", Math.max(1, dispatchers), 1, 10_000),
-                    !"soft".equals(its.get("mode"))));
+                    number(at, fields, "per_s", 0, 1, 1_000_000),
+                    number(at, fields, "burst", 1, 1, 1_000_000),
+                    (int) number(at, fields, "floor_percent", 20, 0, 100),
+                    (int) number(at, fields, "nodes", Math.max(1, dispatchers), 1, 10_000),
+                    !"soft".equals(fields.get("mode"))));
         }
-        if (budgets.size() > MOST_JOBS) {
-            throw new ConfigException(file + ": budgets", budgets.size() + " of them, " + MOST_JOBS + " at most");
+        if (budgets.size() > MAX_ENTRIES) {
+            throw new ConfigException(file + ": budgets", budgets.size() + " budgets; the limit is " + MAX_ENTRIES);
         }
         return budgets;
     }
 
-    private static Announced address(Path file, JsonNode tree, Map<String, String> values) throws ConfigException {
+    private static AddressAnnouncement address(Path file, JsonNode tree, Map<String, String> values)
+            throws ConfigException {
         if (tree.path(ADDRESS).isMissingNode()) {
             return null;
         }
-        // Danger: flattened, a text loses what is no letter.
+        // The flattened values lose punctuation; the URI and the address are taken from the JSON tree.
         String registry = tree.path(ADDRESS).path("registry").asText("");
         String value = tree.path(ADDRESS).path("value").asText("");
         URI at;
@@ -233,33 +243,33 @@
         }
         if (!"http".equals(at.getScheme()) || at.getHost() == null || at.getPort() < 0) {
             throw new ConfigException(
-                    file + ": address.registry", "'" + registry + "' is not as http://127.0.0.1:8600/entry");
+                    file + ": address.registry", "'" + registry + "' is not a URI such as http://127.0.0.1:8600/entry");
         } else if (value.isBlank() || value.length() > 200) {
             throw new ConfigException(
                     file + ": address.value",
-                    "is this node's own address, 200 characters " + "at most, not '" + value + "'");
+                    "must be the address of this node, 1 to 200 characters, not '" + value + "'");
         }
-        return new Announced(at, value, number(file, values, "address.refresh_ms", 1_000, 50, 600_000));
+        return new AddressAnnouncement(at, value, number(file, values, "address.refresh_ms", 1_000, 50, 600_000));
     }
 
-    /** The same with another's addresses, which are all that a running node takes over. */
+    /** Returns this configuration with another's member addresses, the only part that a running node reloads. */
     ClusterConfig withMembersOf(ClusterConfig other) {
         return new ClusterConfig(
                 cluster,
                 listen,
                 other.members,
                 voters,
-                store,
+                storeFolder,
                 storeBytes,
-                beat,
-                lease,
+                heartbeatMs,
+                leaseMs,
                 drift,
                 jobs,
                 budgets,
                 retries,
-                outAtOnce,
+                maxOutOfService,
                 address,
-                rate,
+                clockRate,
                 plants);
     }
 
@@ -272,11 +282,11 @@
         if (terms == null) {
             throw new ConfigException(
                     file + ": " + at + "class",
-                    "class '" + jobClass + "' is not among the settings' " + classes.keySet());
+                    "class '" + jobClass + "' is not in the settings; known classes: " + classes.keySet());
         }
         boolean daily = values.containsKey(at + "at");
         if (daily == values.containsKey(at + "every_ms")) {
-            throw new ConfigException(file + ": " + at + "every_ms", "give either this or " + at + "at");
+            throw new ConfigException(file + ": " + at + "every_ms", "set either this or " + at + "at");
         }
         LocalTime time = null;
         ZoneId zone = null;
@@ -286,9 +296,9 @@
         } catch (DateTimeException e) {
             throw new ConfigException(
                     file + ": " + at + (time == null ? "at" : "zone"),
-                    e.getMessage() + "; give a time as 06:30 and a zone as America/Guayaquil");
+                    e.getMessage() + "; use a time such as 06:30 and a zone such as America/Guayaquil");
         }
-        long every = daily ? 0 : number(file, values, at + "every_ms", 0, 100, 7L * 86_400_000);
+        long everyMs = daily ? 0 : number(file, values, at + "every_ms", 0, 100, 7L * 86_400_000);
         String missed = values.getOrDefault(at + "missed", "last");
         if (!Set.of("skip", "last", "all").contains(missed)) {
             throw new ConfigException(file + ": " + at + "missed", "must be skip, last or all, not '" + missed + "'");
@@ -297,15 +307,15 @@
                 name,
                 jobClass,
                 body,
-                every,
+                everyMs,
                 time,
                 zone,
                 StandingJob.MissedPolicy.valueOf(missed.toUpperCase(java.util.Locale.ROOT)),
-                number(file, values, at + "late_ms", daily ? 60_000 : every, 1, 86_400_000),
+                number(file, values, at + "late_ms", daily ? 60_000 : everyMs, 1, 86_400_000),
                 !terms.unsafe());
     }
 
-    /** Faults for drills; a node that has one says so at its start, loudly. */
+    /** Reads the fault to inject for drills; a node with one logs a SEVERE line at its start. */
     private static Set<Member.InjectedFault> plants(Path file, Map<String, String> values) throws ConfigException {
         Set<Member.InjectedFault> plants = EnumSet.noneOf(Member.InjectedFault.class);
         try {
@@ -313,7 +323,7 @@
                 plants.add(Member.InjectedFault.valueOf(values.get("plant")));
             }
         } catch (IllegalArgumentException e) {
-            throw new ConfigException(file + ": plant", "is none of " + EnumSet.allOf(Member.InjectedFault.class));
+            throw new ConfigException(file + ": plant", "is not one of " + EnumSet.allOf(Member.InjectedFault.class));
         }
         return plants;
     }
@@ -326,28 +336,28 @@
         return text;
     }
 
-    private static long number(Path file, Map<String, String> values, String key, long otherwise, long least, long most)
+    private static long number(Path file, Map<String, String> values, String key, long defaultValue, long min, long max)
             throws ConfigException {
-        return number(file + ": ", "", values, key, otherwise, least, most);
+        return number(file + ": ", "", values, key, defaultValue, min, max);
     }
 
-    private static long number(String at, Map<String, String> values, String key, long otherwise, long least, long most)
+    private static long number(String at, Map<String, String> values, String key, long defaultValue, long min, long max)
             throws ConfigException {
-        return number(at, ".", values, key, otherwise, least, most);
+        return number(at, ".", values, key, defaultValue, min, max);
     }
 
     private static long number(
-            String at, String dot, Map<String, String> values, String key, long otherwise, long least, long most)
+            String at, String dot, Map<String, String> values, String key, long defaultValue, long min, long max)
             throws ConfigException {
         String text = values.get(key);
         try {
-            long number = text == null ? otherwise : Long.parseLong(text);
-            if (number >= least && number <= most) {
+            long number = text == null ? defaultValue : Long.parseLong(text);
+            if (number >= min && number <= max) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Told below, like a number that can't be.
+            // Reported below, together with numbers out of range.
         }
-        throw new ConfigException(at + dot + key, "'" + text + "' is no whole number from " + least + " to " + most);
+        throw new ConfigException(at + dot + key, "'" + text + "' is not a whole number from " + min + " to " + max);
     }
 }
--- a/src/main/java/gorserill/program/ClusterPart.java
+++ b/src/main/java/gorserill/program/ClusterPart.java
@@ -39,24 +39,23 @@
 import java.util.logging.Logger;
 
 /**
- * The node's part in a cluster: its member, on a thread and a socket of its own, and the standing jobs that
- * it fires through the core like any front's. Danger: a voter waits for its disk, which must not hold up
- * jobs; so nothing of it runs on the core's loop.
+ * Connects the node to its cluster: runs the cluster member on its own thread and socket, and submits standing
+ * jobs to the core in the same way as the protocol listeners do. A voter waits for its disk, which must not
+ * delay jobs; therefore the member never runs on the core's loop.
  */
 final class ClusterPart implements ClusterEnvironment {
     private static final Logger LOG = Logger.getLogger(ClusterPart.class.getName());
-    private static final int ADDRESSES = 1_024;
-    /** Milliseconds in which staff are to be told. */
-    private static final long ANSWER = 800;
-    /** Milliseconds that a node that ends goes on for the service address's sake. */
-    private static final long HANDING_OVER = 1_000;
-
-    private static final long HANDING_STEP = 5;
-    /** Microseconds. */
-    private static final long DEMAND = 200_000;
-
-    private final Loop loop =
-            new Loop(e -> LOG.log(Level.SEVERE, "an event of the cluster failed", e), System::nanoTime, "cluster");
+    private static final int MAX_LEARNED_ADDRESSES = 1_024;
+    /** Time limit for the cluster's answer, so that an operators' call is answered within a second. */
+    private static final long CALL_TIMEOUT_MS = 800;
+    /** Longest time that a stopping node keeps serving until the service address has moved. */
+    private static final long ADDRESS_HANDOVER_MS = 1_000;
+
+    private static final long HANDOVER_POLL_MS = 5;
+    private static final long DEMAND_INTERVAL_MICROS = 200_000;
+
+    private final Loop loop = new Loop(
+            e -> LOG.log(Level.SEVERE, "unhandled exception on the cluster loop", e), System::nanoTime, "cluster");
     private final Loop coreLoop;
     private final Core core;
     private final Settings settings;
@@ -64,22 +63,22 @@
     private final ClusterConfig config;
     private final String node;
     private final DatagramTransport datagrams;
-    private final DiskStorage shelf;
+    private final DiskStorage voterStorage;
     private final Member member;
-    /** Null where none is announced. */
+    /** Null if no service address is configured. */
     private final ServiceAddress address;
-    /** Null where no budget is told. */
-    private final BudgetLimiter door;
+    /** Null if no budget is configured. */
+    private final BudgetLimiter budgetLimiter;
 
-    private final BudgetClient spender;
-    /** Addresses by name, as the file has them at present. */
+    private final BudgetClient budgetClient;
+    /** Addresses by node name, as last read from the file. */
     private Map<String, InetSocketAddress> members;
-    /** Where nodes that no file names were heard from. */
+    /** Source addresses of nodes that are not in the file. */
     private final Map<String, InetSocketAddress> learned = new LinkedHashMap<>();
 
     private volatile boolean started;
 
-    /** @throws IOException where the address or the store can't be had; it names which */
+    /** @throws IOException if the address or the store cannot be opened; the message names which one */
     ClusterPart(
             ClusterConfig config,
             String node,
@@ -96,62 +95,68 @@
         this.core = core;
         this.settings = settings;
         this.classNames = classNames;
-        if (config.store() != null) {
-            Files.createDirectories(config.store());
-            shelf = new DiskStorage(
-                    config.store().resolve("voter-" + NodeConfig.fileKey(node) + ".mv"), config.storeBytes());
+        if (config.storeFolder() != null) {
+            Files.createDirectories(config.storeFolder());
+            voterStorage = new DiskStorage(
+                    config.storeFolder().resolve("voter-" + NodeConfig.fileKey(node) + ".mv"), config.storeBytes());
         } else {
-            shelf = null;
+            voterStorage = null;
         }
-        StandingJobScheduler standing =
-                new StandingJobScheduler(config.jobs(), this, System::currentTimeMillis, this::run, this::tell);
-        Map<String, PieceHandler> duties = new LinkedHashMap<>();
-        standing.jobNames().forEach(name -> duties.put(name, standing));
+        StandingJobScheduler jobScheduler =
+                new StandingJobScheduler(config.jobs(), this, System::currentTimeMillis, this::submit, this::logRun);
+        Map<String, PieceHandler> pieceHandlers = new LinkedHashMap<>();
+        jobScheduler.jobNames().forEach(name -> pieceHandlers.put(name, jobScheduler));
         address = config.address() == null ? null : address(config.address());
         if (address != null) {
-            duties.put(ClusterConfig.ADDRESS, address);
+            pieceHandlers.put(ClusterConfig.ADDRESS, address);
         }
-        MemberConfig terms = new MemberConfig(
+        MemberConfig memberConfig = new MemberConfig(
                 config.cluster(),
                 node,
                 UUID.randomUUID().toString(),
                 System.currentTimeMillis(),
                 build,
                 config.voters(),
-                List.copyOf(duties.keySet()),
-                config.beat(),
-                config.lease(),
+                List.copyOf(pieceHandlers.keySet()),
+                config.heartbeatMs(),
+                config.leaseMs(),
                 config.drift());
         try {
-            member = new Member(terms, this, shelf, System.nanoTime(), PieceHandler.of(duties), config.plants());
-            datagrams = new DatagramTransport(loop, config.listen(), Member.MAX_MESSAGE_BYTES + 1, this::heard);
+            member = new Member(
+                    memberConfig,
+                    this,
+                    voterStorage,
+                    System.nanoTime(),
+                    PieceHandler.of(pieceHandlers),
+                    config.plants());
+            datagrams = new DatagramTransport(loop, config.listen(), Member.MAX_MESSAGE_BYTES + 1, this::receive);
         } catch (MalformedMessageException e) {
-            shelf.close();
-            throw new IOException(config.store() + ": the voter's store: " + e.getMessage(), e);
+            voterStorage.close();
+            throw new IOException(config.storeFolder() + ": cannot read the voter store: " + e.getMessage(), e);
         } catch (IOException e) {
-            if (shelf != null) {
-                shelf.close();
+            if (voterStorage != null) {
+                voterStorage.close();
             }
             throw new IOException(config.listen() + ": " + e.getMessage(), e);
         }
-        standing.setMember(member);
+        jobScheduler.setMember(member);
         if (!config.budgets().isEmpty()) {
-            door = new BudgetLimiter(config.budgets(), this::millis, this::demand);
-            spender = new BudgetClient(
+            budgetLimiter = new BudgetLimiter(config.budgets(), this::millis, this::updateDemand);
+            budgetClient = new BudgetClient(
                     config.budgets(),
                     this,
                     member.budgetLink(),
-                    config.lease() / 10,
-                    config.lease(),
+                    config.leaseMs() / 10,
+                    config.leaseMs(),
                     config.plants().contains(Member.InjectedFault.GIVES_BACK_LATE),
-                    door::updateAllowances);
-            member.setSpender(spender);
+                    budgetLimiter::updateAllowances);
+            member.setSpender(budgetClient);
         } else {
-            door = null;
-            spender = null;
+            budgetLimiter = null;
+            budgetClient = null;
         }
-        if (door != null || config.retries() != null) {
-            core.setAdmissionControl(entry(door));
+        if (budgetLimiter != null || config.retries() != null) {
+            core.setAdmissionControl(admissionControl(budgetLimiter));
         }
         if (address != null) {
             address.setMember(member);
@@ -162,12 +167,12 @@
         }
     }
 
-    private ServiceAddress address(ClusterConfig.Announced its) {
+    private ServiceAddress address(ClusterConfig.AddressAnnouncement configured) {
         return new ServiceAddress(
-                its.value(),
-                its.refresh(),
+                configured.value(),
+                configured.refreshMs(),
                 this,
-                new HttpAnnouncer(its.registry(), config.lease(), loop::execute),
+                new HttpAnnouncer(configured.registry(), config.leaseMs(), loop::execute),
                 (epoch, what) -> LOG.log(Level.INFO, "{0} epoch {1} at {2}: {3}", new Object[] {
                     ClusterConfig.ADDRESS, Long.toString(epoch), node, what
                 }));
@@ -179,22 +184,22 @@
             node,
             config.cluster(),
             config.listen(),
-            shelf == null
+            voterStorage == null
                     ? "and does not vote"
                     : config.voters().contains(node) ? "and votes" : "and can take a voter''s place"
         });
         loop.start();
         loop.execute(() -> {
             member.start();
-            back();
+            releasePermit();
         });
-        if (door != null) {
-            coreLoop.execute(this::tellDemand);
+        if (budgetLimiter != null) {
+            coreLoop.execute(this::reportDemand);
         }
     }
 
-    /** How the core asks; on its thread. */
-    private AdmissionControl entry(BudgetLimiter budgets) {
+    /** Returns the admission control for budgets and retries; the core calls it on its own thread. */
+    private AdmissionControl admissionControl(BudgetLimiter budgets) {
         RetryBudget retries = config.retries() == null
                         || config.plants().contains(Member.InjectedFault.RETRIES_UNBOUNDED)
                 ? null
@@ -216,108 +221,112 @@
         };
     }
 
-    private void demand(String budget, double perSecond) {
-        loop.execute(() -> spender.updateDemand(budget, perSecond));
+    private void updateDemand(String budget, double perSecond) {
+        loop.execute(() -> budgetClient.updateDemand(budget, perSecond));
     }
 
-    /** Where no job comes any more, that has to be told as well. */
-    private void tellDemand() {
-        door.reportDemand(coreLoop.now());
-        coreLoop.at(coreLoop.now() + DEMAND, this::tellDemand);
+    /** Reports demand at a fixed interval, so that a drop to zero without new jobs is reported too. */
+    private void reportDemand() {
+        budgetLimiter.reportDemand(coreLoop.now());
+        coreLoop.at(coreLoop.now() + DEMAND_INTERVAL_MICROS, this::reportDemand);
     }
 
-    /** It serves: it is not out any more. Asked until a leader has answered. */
-    private void back() {
-        if (config.outAtOnce() > 0) {
-            member.release(node, config.lease(), answer -> {
+    /** Releases this node's permit to be out of service; repeats the request until a leader has answered. */
+    private void releasePermit() {
+        if (config.maxOutOfService() > 0) {
+            member.release(node, config.leaseMs(), answer -> {
                 if (answer == null) {
-                    back();
+                    releasePermit();
                 }
             });
         }
     }
 
     /**
-     * Hands over what it owns, as far as others can take it. Danger: clients who come by the service address
-     * would find nobody, so the node goes on until another has it, for a second at the most.
+     * Hands over the pieces that this node owns, as far as other nodes can take them. Clients of the service
+     * address would otherwise find no node, so this node keeps serving until another one has announced it, for
+     * a second at most.
      *
-     * @param then is told once it may stop taking clients, on any thread, and whether clients come by that
-     *     address and are sent elsewhere
+     * @param callback called on any thread once the node may stop accepting clients; the value is whether the
+     *     service address now sends clients to another node
      */
-    void leave(Consumer<Boolean> then) {
+    void leave(Consumer<Boolean> callback) {
         if (!started) {
-            then.accept(false);
+            callback.accept(false);
             return;
         }
         loop.execute(() -> {
             member.setLeaving(true);
-            if (config.outAtOnce() > 0) {
-                member.permit(config.outAtOnce(), true, config.lease(), answer -> {});
+            if (config.maxOutOfService() > 0) {
+                member.permit(config.maxOutOfService(), true, config.leaseMs(), answer -> {});
             }
         });
         if (address == null) {
-            then.accept(false);
+            callback.accept(false);
             return;
         }
-        // Danger: a disk that hangs holds the cluster's thread, and must not hold the node's end.
-        AtomicBoolean told = new AtomicBoolean();
-        Consumer<Boolean> once = elsewhere -> {
-            if (told.compareAndSet(false, true)) {
-                then.accept(elsewhere);
+        // A hanging disk blocks the cluster's thread; the timer on the core's loop lets the node stop regardless.
+        AtomicBoolean completed = new AtomicBoolean();
+        Consumer<Boolean> completeOnce = moved -> {
+            if (completed.compareAndSet(false, true)) {
+                callback.accept(moved);
             }
         };
-        loop.execute(() -> untilHandedOver(millis() + HANDING_OVER, once));
-        coreLoop.execute(() -> coreLoop.at(coreLoop.now() + HANDING_OVER * 2_000, () -> once.accept(false)));
+        loop.execute(() -> awaitAddressHandover(millis() + ADDRESS_HANDOVER_MS, completeOnce));
+        // Twice the handover time, in microseconds.
+        coreLoop.execute(
+                () -> coreLoop.at(coreLoop.now() + ADDRESS_HANDOVER_MS * 2_000, () -> completeOnce.accept(false)));
     }
 
-    private void untilHandedOver(long until, Consumer<Boolean> then) {
+    private void awaitAddressHandover(long deadlineMs, Consumer<Boolean> callback) {
         if (address == null) {
-            then.accept(false);
-        } else if (millis() >= until) {
+            callback.accept(false);
+        } else if (millis() >= deadlineMs) {
             LOG.log(Level.WARNING, "{0} ends, and clients may still be sent to it", node);
-            then.accept(false);
+            callback.accept(false);
         } else if (member.owns(ClusterConfig.ADDRESS)) {
-            after(HANDING_STEP, () -> untilHandedOver(until, then));
+            after(HANDOVER_POLL_MS, () -> awaitAddressHandover(deadlineMs, callback));
         } else {
-            address.checkAnnouncedElsewhere(so -> {
-                if (so) {
-                    then.accept(true);
+            address.checkAnnouncedElsewhere(moved -> {
+                if (moved) {
+                    callback.accept(true);
                 } else {
-                    after(HANDING_STEP, () -> untilHandedOver(until, then));
+                    after(HANDOVER_POLL_MS, () -> awaitAddressHandover(deadlineMs, callback));
                 }
             });
         }
     }
 
     /**
-     * Asks whether this node may be out of service; the answer, why not or null, is told on the core's loop.
+     * Requests a permit to be out of service. The callback runs on the core's loop, with null if it is granted
+     * and otherwise the reason for the refusal.
      */
-    void permit(Consumer<String> then) {
-        if (config.outAtOnce() == 0) {
-            then.accept(null);
+    void permit(Consumer<String> callback) {
+        if (config.maxOutOfService() == 0) {
+            callback.accept(null);
             return;
         }
         loop.execute(() -> member.permit(
-                config.outAtOnce(),
+                config.maxOutOfService(),
                 false,
-                ANSWER,
-                answer -> coreLoop.execute(() -> then.accept(
+                CALL_TIMEOUT_MS,
+                answer -> coreLoop.execute(() -> callback.accept(
                         answer == null
                                 ? "no word of a leader in time, so it may not be out"
                                 : answer.accepted() ? null : answer.reason()))));
     }
 
-    /** It is back in service. */
+    /** Reports that this node is back in service. */
     void backInService() {
-        loop.execute(this::back);
+        loop.execute(this::releasePermit);
     }
 
-    /** Takes over the addresses of the members. */
-    void reload(ClusterConfig fresh) {
-        loop.execute(() -> members = fresh.members());
+    /** Replaces the addresses of the members. */
+    void reload(ClusterConfig reloaded) {
+        loop.execute(() -> members = reloaded.members());
     }
 
-    /** Ends: others may take over at once, if the word reaches them. */
+    /** Leaves the cluster and stops; others take over at once if the announcement reaches them. */
     void stop() {
         if (!started) {
             loop.start();
@@ -325,7 +334,7 @@
         CountDownLatch closed = new CountDownLatch(started ? 1 : 0);
         loop.execute(() -> member.close(closed::countDown));
         try {
-            if (!closed.await(config.lease(), TimeUnit.MILLISECONDS)) {
+            if (!closed.await(config.leaseMs(), TimeUnit.MILLISECONDS)) {
                 LOG.log(Level.INFO, "{0} left the cluster unheard; its lease has to run out", node);
             }
         } catch (InterruptedException e) {
@@ -334,61 +343,61 @@
         loop.execute(() -> {
             member.stop();
             datagrams.stop();
-            if (shelf != null) {
-                shelf.close();
+            if (voterStorage != null) {
+                voterStorage.close();
             }
             loop.stop();
         });
     }
 
     /**
-     * What staff ask: {@code status}, {@code members}, {@code owners} or {@code budgets}, with {@code json}
-     * behind it as JSON; {@code transfer PIECE NODE}, which wants a piece at a node until {@code transfer
-     * PIECE} takes that back; {@code replace-voter OLD NEW}; {@code permit}; {@code release NODE}. The answer
-     * is told on the core's loop, within a second.
+     * Executes an operators' call: {@code status}, {@code members}, {@code owners} or {@code budgets}, as JSON if
+     * {@code json} is appended; {@code transfer PIECE NODE}, which requests a piece for a node until {@code transfer
+     * PIECE} cancels that; {@code replace-voter OLD NEW}; {@code permit}; {@code release NODE}. The answer
+     * is passed to the callback on the core's loop, within a second.
      */
-    void call(String about, Consumer<String> to) {
-        Consumer<String> back = text -> coreLoop.execute(() -> to.accept(text));
-        String[] words = about.strip().split("\\s+");
+    void call(String call, Consumer<String> callback) {
+        Consumer<String> reply = text -> coreLoop.execute(() -> callback.accept(text));
+        String[] words = call.strip().split("\\s+");
         if (!started) {
-            to.accept("fail this node does not serve yet, and is no member before it does\n");
+            callback.accept("fail this node does not serve yet, and is no member before it does\n");
             return;
         }
-        Consumer<Register.CommandResult> told = answer -> back.accept(
+        Consumer<Register.CommandResult> onResult = answer -> reply.accept(
                 answer == null
                         ? "fail no word of a leader in time; it may be done or not, so look\n"
                         : answer.accepted() ? "ok\n" : "fail " + answer.reason() + "\n");
-        String what = about.isBlank() ? "status" : words[0];
+        String what = call.isBlank() ? "status" : words[0];
         loop.execute(() -> {
-            if (ClusterView.has(what) && words.length == 1) {
-                back.accept(new ClusterView(member, node, millis(), spender).text(what));
-            } else if (ClusterView.has(what) && words.length == 2 && words[1].equals("json")) {
-                back.accept(new ClusterView(member, node, millis(), spender).json(what));
+            if (ClusterView.isQuery(what) && words.length == 1) {
+                reply.accept(new ClusterView(member, node, millis(), budgetClient).text(what));
+            } else if (ClusterView.isQuery(what) && words.length == 2 && words[1].equals("json")) {
+                reply.accept(new ClusterView(member, node, millis(), budgetClient).json(what));
             } else if (what.equals("transfer") && (words.length == 2 || words.length == 3)) {
-                member.transfer(words[1], words.length == 3 ? words[2] : "", ANSWER, told);
+                member.transfer(words[1], words.length == 3 ? words[2] : "", CALL_TIMEOUT_MS, onResult);
             } else if (what.equals("replace-voter") && words.length == 3) {
-                member.replace(words[1], words[2], ANSWER, told);
+                member.replace(words[1], words[2], CALL_TIMEOUT_MS, onResult);
             } else if (what.equals("permit") && words.length == 1) {
-                member.permit(Math.max(1, config.outAtOnce()), false, ANSWER, told);
+                member.permit(Math.max(1, config.maxOutOfService()), false, CALL_TIMEOUT_MS, onResult);
             } else if (what.equals("release") && words.length == 2) {
-                member.release(words[1], ANSWER, told);
+                member.release(words[1], CALL_TIMEOUT_MS, onResult);
             } else {
-                back.accept("fail say status, members, owners or budgets (and json), transfer PIECE NODE, "
+                reply.accept("fail say status, members, owners or budgets (and json), transfer PIECE NODE, "
                         + "replace-voter OLD NEW, permit, or release NODE\n");
             }
         });
     }
 
-    // ---- what the member stands on ----
+    // Clock, timers and messages for the member.
 
     @Override
     public long millis() {
-        return (long) (loop.now() / 1_000 * config.rate());
+        return (long) (loop.now() / 1_000 * config.clockRate());
     }
 
     @Override
-    public void after(long millis, Runnable then) {
-        loop.at(loop.now() + (long) (millis * 1_000 / config.rate()), then);
+    public void after(long millis, Runnable callback) {
+        loop.at(loop.now() + (long) (millis * 1_000 / config.clockRate()), callback);
     }
 
     @Override
@@ -399,29 +408,31 @@
         }
     }
 
-    private void heard(InetSocketAddress from, byte[] message) {
+    private void receive(InetSocketAddress from, byte[] message) {
         String name = member.receive(message);
-        if (name != null && !members.containsKey(name) && (learned.size() < ADDRESSES || learned.containsKey(name))) {
+        if (name != null
+                && !members.containsKey(name)
+                && (learned.size() < MAX_LEARNED_ADDRESSES || learned.containsKey(name))) {
             learned.put(name, from);
         }
     }
 
-    // ---- standing jobs ----
+    // Standing jobs.
 
-    private void tell(String job, long number, long epoch, String what) {
+    private void logRun(String job, long number, long epoch, String what) {
         LOG.log(Level.INFO, "standing {0} time {1} epoch {2} at {3}: {4}", new Object[] {
             job, Long.toString(number), Long.toString(epoch), node, what
         });
     }
 
-    private void run(StandingJob job, long time, long epoch, int attempt, Consumer<JobResult> then) {
+    private void submit(StandingJob job, long time, long epoch, int attempt, Consumer<JobResult> callback) {
         int index = classNames.indexOf(job.jobClass());
         String key = "standing-" + job.name() + "-" + time;
-        Consumer<JobResult> back = end -> loop.execute(() -> then.accept(end));
+        Consumer<JobResult> onClusterLoop = end -> loop.execute(() -> callback.accept(end));
         coreLoop.execute(() -> {
             String id = key + "-" + attempt + "-" + Long.toHexString(System.nanoTime());
             boolean keyed = settings.classes().get(index).effect() == Effect.KEYED;
-            JobSpec work = new JobSpec(
+            JobSpec spec = new JobSpec(
                     id,
                     index,
                     null,
@@ -431,8 +442,8 @@
                     null,
                     job.name() + " " + epoch);
             core.submit(
-                    new Answering(back),
-                    work,
+                    new StandingJobResponse(onClusterLoop),
+                    spec,
                     new RequestOptions(
                             coreLoop.now(),
                             settings.classes().get(index).deadline(),
@@ -444,20 +455,20 @@
         });
     }
 
-    private record Answering(Consumer<JobResult> to) implements ResponseHandler {
+    private record StandingJobResponse(Consumer<JobResult> callback) implements ResponseHandler {
         @Override
         public void served(byte[] result) {
-            to.accept(JobResult.SERVED);
+            callback.accept(JobResult.SERVED);
         }
 
         @Override
         public void refused(long waitMicros) {
-            to.accept(JobResult.REFUSED);
+            callback.accept(JobResult.REFUSED);
         }
 
         @Override
         public void failed() {
-            to.accept(JobResult.FAILED);
+            callback.accept(JobResult.FAILED);
         }
     }
 }
--- a/src/main/java/gorserill/program/ClusterView.java
+++ b/src/main/java/gorserill/program/ClusterView.java
@@ -8,10 +8,13 @@
 import gorserill.cluster.shared.BudgetClient;
 import java.util.Set;
 
-/** What staff see of the cluster from one node: rows of some kinds, as lines of text or as JSON. */
+/**
+ * The cluster state that operators can query, as seen by one node: rows grouped by kind, as lines of text or as
+ * JSON.
+ */
 final class ClusterView {
-    /** What can be asked for, and the kinds of rows that it has. */
-    private static final java.util.Map<String, Set<String>> PARTS = java.util.Map.of(
+    /** The queries, and the kinds of rows that each of them returns. */
+    private static final java.util.Map<String, Set<String>> ROW_KINDS_BY_QUERY = java.util.Map.of(
             "status",
             Set.of("node", "owns", "voter", "replacing", "member", "piece", "out", "dropped"),
             "members",
@@ -23,9 +26,9 @@
 
     private final ObjectNode rows = JsonNodeFactory.instance.objectNode();
 
-    /** @param now by the member's clock */
-    ClusterView(Member member, String node, long now, BudgetClient spender) {
-        long alone = member.withoutLeaderSince();
+    /** @param now milliseconds on the member's clock */
+    ClusterView(Member member, String node, long now, BudgetClient budgetClient) {
+        long withoutLeaderSince = member.withoutLeaderSince();
         String leader = member.leader();
         row("node", node)
                 .put("life", member.life())
@@ -35,65 +38,67 @@
                         "quorum",
                         member.replaced()
                                 ? "a newer process has this name"
-                                : alone < 0 ? "yes" : "none for " + (now - alone) + " ms");
+                                : withoutLeaderSince < 0 ? "yes" : "none for " + (now - withoutLeaderSince) + " ms");
         for (String piece : member.owned()) {
             row("owns", piece).put("epoch", member.epoch(piece));
         }
         Register register = member.register();
-        // Danger: what a voter has applied may be late; only the leader's is what holds, so each row says
-        // whose.
-        String of = "leads".equals(member.voterStatus()) ? null : node;
-        member.voters().forEach((name, votes) -> as(of, row("voter", name).put("votes", votes)));
+        // Only the leader's state is current; another node's may lag behind, so its rows name the node in as_of.
+        String asOf = "leads".equals(member.voterStatus()) ? null : node;
+        member.voters()
+                .forEach((name, votes) -> addAsOf(asOf, row("voter", name).put("votes", votes)));
         Register.VoterReplacement replacing = register.replacing();
         if (replacing != null) {
-            as(
-                    of,
+            addAsOf(
+                    asOf,
                     row("replacing", replacing.leaving)
                             .put("by", replacing.coming)
                             .put("entry", replacing.entry));
         }
         register.nodes()
-                .forEach((name, one) -> as(
-                        of,
+                .forEach((name, registered) -> addAsOf(
+                        asOf,
                         row("member", name)
-                                .put("life", one.life)
-                                .put("build", one.build)
-                                .put("leaves", one.leaves)));
+                                .put("life", registered.life)
+                                .put("build", registered.build)
+                                .put("leaves", registered.leaves)));
         register.pieces()
-                .forEach((name, piece) -> as(
-                        of,
+                .forEach((name, piece) -> addAsOf(
+                        asOf,
                         row("piece", name)
                                 .put("owner", piece.owner.isEmpty() ? "nobody" : piece.owner)
                                 .put("epoch", piece.epoch)
                                 .put("last", piece.last)
                                 .put("open", piece.open.size())
                                 .put("unknown", piece.unknown.size())));
-        if (spender != null) {
-            boolean lapsed = now >= member.budgetLink().leaseUntil();
-            spender.shareFigures()
-                    .forEach((name, its) -> row("spends", name)
-                            .put("has", its[0])
-                            .put("due", its[1])
-                            .put("wants", its[2])
+        if (budgetClient != null) {
+            boolean leaseExpired = now >= member.budgetLink().leaseUntil();
+            budgetClient
+                    .shareFigures()
+                    .forEach((name, figures) -> row("spends", name)
+                            .put("has", figures[0])
+                            .put("due", figures[1])
+                            .put("wants", figures[2])
                             .put(
                                     "lease",
-                                    lapsed
+                                    leaseExpired
                                             ? "over: its floor alone"
                                             : "for " + (member.budgetLink().leaseUntil() - now) + " ms"));
         }
         register.budgetShares()
                 .parts
-                .forEach((name, its) -> its.forEach((holder, part) -> as(
-                        of,
+                .forEach((name, shares) -> shares.forEach((holder, part) -> addAsOf(
+                        asOf,
                         row("part", name)
                                 .put("node", holder)
                                 .put("has", part.has)
                                 .put("wants", part.wants))));
         register.budgetShares()
                 .ghosts
-                .forEach((name, its) -> its.forEach((budget, has) ->
-                        as(of, row("ghost", name).put("budget", budget).put("has", has))));
-        register.outOfService().forEach((name, why) -> as(of, row("out", name).put("why", why)));
+                .forEach((name, budgets) -> budgets.forEach((budget, has) ->
+                        addAsOf(asOf, row("ghost", name).put("budget", budget).put("has", has))));
+        register.outOfService()
+                .forEach((name, why) -> addAsOf(asOf, row("out", name).put("why", why)));
         member.dropped()
                 .forEach((why, count) ->
                         row("dropped", why.lines().findFirst().orElse("")).put("count", count));
@@ -103,35 +108,35 @@
         return rows.withArray("/" + kind).addObject().put("name", name);
     }
 
-    private static void as(String of, ObjectNode row) {
-        if (of != null) {
-            row.put("as_of", of);
+    private static void addAsOf(String asOf, ObjectNode row) {
+        if (asOf != null) {
+            row.put("as_of", asOf);
         }
     }
 
-    /** Whether it is something that can be asked for. */
-    static boolean has(String part) {
-        return PARTS.containsKey(part);
+    /** Returns whether this is the name of a query. */
+    static boolean isQuery(String name) {
+        return ROW_KINDS_BY_QUERY.containsKey(name);
     }
 
-    /** One line of JSON: the rows by kind. */
-    String json(String part) {
-        ObjectNode wanted = rows.deepCopy();
-        wanted.retain(PARTS.get(part));
-        return wanted + "\neof\n";
+    /** Returns the rows of a query, grouped by kind, as one line of JSON. */
+    String json(String query) {
+        ObjectNode selected = rows.deepCopy();
+        selected.retain(ROW_KINDS_BY_QUERY.get(query));
+        return selected + "\neof\n";
     }
 
-    /** A line a row: its kind, its name, and figures as {@code name=value}. */
-    String text(String part) {
+    /** Returns one line per row: its kind, its name, and its fields as {@code name=value}. */
+    String text(String query) {
         StringBuilder text = new StringBuilder();
         rows.fields().forEachRemaining(kind -> {
-            if (PARTS.get(part).contains(kind.getKey())) {
+            if (ROW_KINDS_BY_QUERY.get(query).contains(kind.getKey())) {
                 ((ArrayNode) kind.getValue()).forEach(row -> {
                     text.append(kind.getKey());
                     row.fields()
-                            .forEachRemaining(one -> text.append(' ')
-                                    .append(one.getKey().equals("name") ? "" : one.getKey() + "=")
-                                    .append(one.getValue().asText().replace(' ', '_')));
+                            .forEachRemaining(field -> text.append(' ')
+                                    .append(field.getKey().equals("name") ? "" : field.getKey() + "=")
+                                    .append(field.getValue().asText().replace(' ', '_')));
                     text.append('\n');
                 });
             }
--- a/src/main/java/gorserill/program/HttpAnnouncer.java
+++ b/src/main/java/gorserill/program/HttpAnnouncer.java
@@ -12,69 +12,67 @@
 import java.util.logging.Logger;
 
 /**
- * Announces by {@code PUT} (RFC 9110, section 9.3.4) of the address as text, with its epoch in
- * {@code X-Epoch}; 409 says that a higher epoch was there; {@code GET} gives it. Loaded where an address is
- * announced, and nowhere else.
+ * Announces the service address to a registry over HTTP. {@code PUT} (RFC 9110, section 9.3.4) sends the address
+ * as text, with its epoch in {@code X-Epoch}; the registry answers 409 if it holds a higher epoch. {@code GET}
+ * returns the announced address. The class is loaded only on nodes that announce an address.
  */
 final class HttpAnnouncer implements Announcer {
     private static final Logger LOG = Logger.getLogger(HttpAnnouncer.class.getName());
-    private static final int TOO_LATE = 409;
-    /** Characters of an address. */
-    private static final int LONGEST = 200;
+    private static final int STATUS_CONFLICT = 409;
+    private static final int MAX_ADDRESS_CHARS = 200;
 
     private final URI registry;
-    private final Duration patience;
-    private final Executor thread;
+    private final Duration timeout;
+    private final Executor callbackExecutor;
     private final HttpClient client;
 
     /**
-     * @param patience for an answer, milliseconds
-     * @param thread where answers are told
+     * @param timeoutMs limit on each request, in milliseconds
+     * @param callbackExecutor runs the callbacks with the results
      */
-    HttpAnnouncer(URI registry, long patience, Executor thread) {
+    HttpAnnouncer(URI registry, long timeoutMs, Executor callbackExecutor) {
         this.registry = registry;
-        this.patience = Duration.ofMillis(patience);
-        this.thread = thread;
-        // Danger: on the cluster's thread, its looking up of names and opening of connections would hold
-        // leases up.
+        this.timeout = Duration.ofMillis(timeoutMs);
+        this.callbackExecutor = callbackExecutor;
+        // The client keeps its own executor: name lookups and connection set-up on the cluster thread would delay
+        // lease renewals.
         client = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(this.patience)
+                .connectTimeout(this.timeout)
                 .build();
-        // Danger: the first use of the client takes so long that a hand-over would wait for it.
-        lookUp(at -> LOG.log(
-                at == null ? Level.WARNING : Level.FINE,
-                at == null ? "the registry of the service address does not answer: {0}" : "{0} has {1}",
-                new Object[] {registry, at}));
+        // The first request initializes the client, which takes long enough to delay a handover.
+        lookUp(address -> LOG.log(
+                address == null ? Level.WARNING : Level.FINE,
+                address == null ? "the registry of the service address does not answer: {0}" : "{0} has {1}",
+                new Object[] {registry, address}));
     }
 
     @Override
-    public void lookUp(Consumer<String> then) {
+    public void lookUp(Consumer<String> callback) {
         client.sendAsync(
-                        HttpRequest.newBuilder(registry).timeout(patience).build(),
-                        HttpResponse.BodyHandlers.ofString())
-                .whenComplete((answer, fault) -> thread.execute(() -> then.accept(
-                        fault != null
-                                        || answer.statusCode() / 100 != 2
-                                        || answer.body().length() > LONGEST
+                        HttpRequest.newBuilder(registry).timeout(timeout).build(), HttpResponse.BodyHandlers.ofString())
+                .whenComplete((response, error) -> callbackExecutor.execute(() -> callback.accept(
+                        error != null
+                                        || response.statusCode() / 100 != 2
+                                        || response.body().length() > MAX_ADDRESS_CHARS
                                 ? null
-                                : answer.body())));
+                                : response.body())));
     }
 
     @Override
-    public void announce(String value, long epoch, Consumer<AnnounceResult> then) {
+    public void announce(String value, long epoch, Consumer<AnnounceResult> callback) {
         HttpRequest request = HttpRequest.newBuilder(registry)
-                .timeout(patience)
+                .timeout(timeout)
                 .header("X-Epoch", Long.toString(epoch))
                 .PUT(HttpRequest.BodyPublishers.ofString(value))
                 .build();
         client.sendAsync(request, HttpResponse.BodyHandlers.discarding())
-                .whenComplete((answer, fault) -> thread.execute(() -> then.accept(
-                        fault != null
+                .whenComplete((response, error) -> callbackExecutor.execute(() -> callback.accept(
+                        error != null
                                 ? AnnounceResult.UNKNOWN
-                                : answer.statusCode() / 100 == 2
+                                : response.statusCode() / 100 == 2
                                         ? AnnounceResult.DONE
-                                        : answer.statusCode() == TOO_LATE
+                                        : response.statusCode() == STATUS_CONFLICT
                                                 ? AnnounceResult.TOO_LATE
                                                 : AnnounceResult.UNKNOWN)));
     }
