--- a/src/main/java/gorserill/program/Main.java
+++ b/src/main/java/gorserill/program/Main.java
@@ -1,8 +1,8 @@
 package gorserill.program;
 
 import gorserill.program.command.ContractCommand;
-import gorserill.program.command.Gorserill;
-import gorserill.program.command.Gorserill.Brought;
+import gorserill.program.command.GorserillCommand;
+import gorserill.program.command.GorserillCommand.ExternalCommand;
 import gorserill.program.demo.Demo;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -14,7 +14,7 @@
 
 /**
  * The program's entry point: {@code serve} runs a node, {@code adapter} connects the dispatcher to the simulator's
- * protocol, {@code rehearse} runs a node's start for the build; {@link Gorserill} parses all other commands.
+ * protocol, {@code rehearse} runs a node's start for the build; {@link GorserillCommand} parses all other commands.
  */
 public final class Main {
     private static final Logger LOG = Logger.getLogger(Main.class.getName());
@@ -32,18 +32,20 @@
             case "rehearse" -> System.exit(rehearse());
             case "adapter" -> System.exit(adapter());
             default ->
-                System.exit(Gorserill.execute(
+                System.exit(GorserillCommand.execute(
                         args,
-                        new Brought(
+                        new ExternalCommand(
                                 "serve",
                                 "Runs a node with the configuration file that NODE_CONFIG names.",
                                 Main::serve),
-                        new Brought(
+                        new ExternalCommand(
                                 "demo",
                                 "Runs a node with workers on this machine and shows the progress of jobs.",
                                 Main::demo),
-                        new Brought("adapter", "Runs the dispatcher on the simulator's protocol.", Main::adapter),
-                        new Brought("rehearse", "Runs a node's start to record the class archive.", Main::rehearse)));
+                        new ExternalCommand(
+                                "adapter", "Runs the dispatcher on the simulator's protocol.", Main::adapter),
+                        new ExternalCommand(
+                                "rehearse", "Runs a node's start to record the class archive.", Main::rehearse)));
         }
     }
 
