--- a/src/main/java/gorserill/cluster/address/Announcer.java
+++ b/src/main/java/gorserill/cluster/address/Announcer.java
@@ -2,24 +2,25 @@
 
 import java.util.function.Consumer;
 
-/** Where an address is announced; whoever sends clients on looks there. */
+/** Access to the registry from which load balancers or DNS learn the service address. */
 public interface Announcer {
-    /** What became of it. */
+    /** The result of an announcement. */
     enum AnnounceResult {
         DONE,
-        /** A newer owner has announced: this one is not to try again. */
+        /** A newer owner has announced its address; this one must not retry. */
         TOO_LATE,
         UNKNOWN
     }
 
     /**
-     * Puts an address in the place of what stands there.
+     * Replaces the announced address.
      *
-     * @param epoch rises from owner to owner; a registry that looks at it refuses lower ones than it has
-     * @param then is told on the member's thread, once
+     * @param epoch increases from owner to owner; a registry that checks it rejects an epoch lower than the
+     *     last one it accepted
+     * @param then receives the result once, on the member's thread
      */
     void announce(String value, long epoch, Consumer<AnnounceResult> then);
 
-    /** Tells, on the member's thread, once, what is announced at present; null where that is not known. */
+    /** Passes the announced address, or null if it is not known, to {@code then}, once, on the member's thread. */
     void lookUp(Consumer<String> then);
 }
--- a/src/main/java/gorserill/cluster/address/ServiceAddress.java
+++ b/src/main/java/gorserill/cluster/address/ServiceAddress.java
@@ -10,122 +10,123 @@
 import java.util.function.Consumer;
 
 /**
- * Announces this node as the way in while it owns the address. What stood there before stays until the next
- * owner puts its own in its place, so by a planned end there is no time without one. Danger: an owner that
- * was stalled on its way to the registry wakes up late; a registry that looks at epochs turns it away, at any
- * other the owner's next announcement, which comes each {@code refresh}, puts that right.
+ * Announces this node's address to clients while the node owns the service address. The former announcement
+ * stays until the next owner replaces it, so a planned hand-over leaves no time without an address. The request
+ * of an owner that stalled while announcing may reach the registry late: a registry that checks epochs rejects
+ * it, with any other the present owner corrects it by its next periodic announcement.
  */
 public final class ServiceAddress implements Duty {
-    private static final long AGAIN = 50;
+    private static final long RETRY_MS = 50;
 
     private final String value;
-    private final long refresh;
+    private final long refreshMs;
     private final Ground ground;
     private final Announcer announcer;
-    private final BiConsumer<Long, String> teller;
+    private final BiConsumer<Long, String> listener;
     private Member member;
     private String piece;
-    /** The epoch that is gone by; 0 where the address is not this node's. */
+    /** The epoch of this node's ownership; 0 while it does not own the address. */
     private long epoch;
 
-    private boolean busy;
+    private boolean announcing;
     private Runnable whenIdle;
 
     /**
      * @param value this node's own address, for clients
-     * @param refresh milliseconds between announcements
-     * @param teller hears the epoch and what was done, for the log
+     * @param refreshMs milliseconds between announcements
+     * @param listener receives the epoch and a line for the log
      */
     public ServiceAddress(
-            String value, long refresh, Ground ground, Announcer announcer, BiConsumer<Long, String> teller) {
+            String value, long refreshMs, Ground ground, Announcer announcer, BiConsumer<Long, String> listener) {
         this.value = value;
-        this.refresh = refresh;
+        this.refreshMs = refreshMs;
         this.ground = ground;
         this.announcer = announcer;
-        this.teller = teller;
+        this.listener = listener;
     }
 
-    /** The member that claims; to be told before it starts. */
-    public void setMember(Member its) {
-        member = its;
+    /** Sets the member through which acts are claimed. Has to be called before the member starts. */
+    public void setMember(Member claimingMember) {
+        member = claimingMember;
     }
 
-    /** Tells whether clients are sent elsewhere, as far as is known. */
+    /** Passes to {@code then} whether another node's address is known to be announced, or this node never owned it. */
     public void checkAnnouncedElsewhere(Consumer<Boolean> then) {
         if (piece == null) {
             then.accept(true);
         } else {
-            announcer.lookUp(at -> then.accept(at != null && !at.equals(value)));
+            announcer.lookUp(announced -> then.accept(announced != null && !announced.equals(value)));
         }
     }
 
     @Override
-    public void owns(String its, long under, long last, SortedSet<Long> unknown) {
-        piece = its;
-        epoch = under;
+    public void owns(String ownedPiece, long ownedEpoch, long last, SortedSet<Long> unknown) {
+        piece = ownedPiece;
+        epoch = ownedEpoch;
         whenIdle = null;
-        busy = false;
-        teller.accept(under, "owned from here on");
-        // What an owner before may have announced is gone by what this one does.
-        unknown.forEach(act -> member.done(its, under, act));
-        claim(under, last + 1);
+        announcing = false;
+        listener.accept(ownedEpoch, "owned from here on");
+        // Announcements of a former owner whose outcome is unknown are superseded by this owner's.
+        unknown.forEach(act -> member.done(ownedPiece, ownedEpoch, act));
+        claim(ownedEpoch, last + 1);
     }
 
-    private boolean holds(long under) {
-        return epoch == under && whenIdle == null && member.epoch(piece) == under;
+    private boolean mayAnnounce(long ownedEpoch) {
+        return epoch == ownedEpoch && whenIdle == null && member.epoch(piece) == ownedEpoch;
     }
 
-    private void claim(long under, long act) {
-        if (!holds(under)) {
+    private void claim(long ownedEpoch, long act) {
+        if (!mayAnnounce(ownedEpoch)) {
             return;
         }
         member.claim(piece, act, false, answer -> {
             if (answer == Claimed.YES) {
-                announce(under, act);
+                announce(ownedEpoch, act);
             } else {
-                // Danger: a number that an owner before has used is no reason to leave the address
-                // unannounced.
-                ground.after(AGAIN, () -> claim(under, answer == Claimed.NO ? act + 1 : act));
+                // A number that a former owner has used must not keep the address from being announced, so the
+                // next number is tried.
+                ground.after(RETRY_MS, () -> claim(ownedEpoch, answer == Claimed.NO ? act + 1 : act));
             }
         });
     }
 
-    /** @param act that is claimed and to be closed; 0 where it was before */
-    private void announce(long under, long act) {
-        if (!holds(under)) {
-            closed(under, act);
+    /** @param act the claimed act that the announcement completes; 0 for a periodic announcement after that */
+    private void announce(long ownedEpoch, long act) {
+        if (!mayAnnounce(ownedEpoch)) {
+            completeAct(ownedEpoch, act);
             return;
         }
-        busy = true;
-        announcer.announce(value, under, told -> {
-            if (epoch == under) {
-                busy = false;
+        announcing = true;
+        announcer.announce(value, ownedEpoch, result -> {
+            if (epoch == ownedEpoch) {
+                announcing = false;
             }
-            if (act > 0 || told == AnnounceResult.TOO_LATE) {
-                teller.accept(under, told == AnnounceResult.DONE ? "announced " + value : "not announced: " + told);
+            if (act > 0 || result == AnnounceResult.TOO_LATE) {
+                listener.accept(
+                        ownedEpoch, result == AnnounceResult.DONE ? "announced " + value : "not announced: " + result);
             }
-            if (told == AnnounceResult.DONE) {
-                closed(under, act);
+            if (result == AnnounceResult.DONE) {
+                completeAct(ownedEpoch, act);
             }
-            if (epoch == under && whenIdle != null) {
+            if (epoch == ownedEpoch && whenIdle != null) {
                 whenIdle.run();
-            } else if (told != AnnounceResult.TOO_LATE) {
+            } else if (result != AnnounceResult.TOO_LATE) {
                 ground.after(
-                        told == AnnounceResult.DONE ? refresh : AGAIN,
-                        () -> announce(under, told == AnnounceResult.DONE ? 0 : act));
+                        result == AnnounceResult.DONE ? refreshMs : RETRY_MS,
+                        () -> announce(ownedEpoch, result == AnnounceResult.DONE ? 0 : act));
             }
         });
     }
 
-    private void closed(long under, long act) {
+    private void completeAct(long ownedEpoch, long act) {
         if (act > 0) {
-            member.done(piece, under, act);
+            member.done(piece, ownedEpoch, act);
         }
     }
 
     @Override
-    public void handOver(String its, long under, Runnable then) {
-        if (epoch == under && busy) {
+    public void handOver(String handedPiece, long handedEpoch, Runnable then) {
+        if (epoch == handedEpoch && announcing) {
             whenIdle = then;
         } else {
             then.run();
@@ -133,10 +134,10 @@
     }
 
     @Override
-    public void lost(String its, long under) {
-        if (epoch == under) {
+    public void lost(String lostPiece, long lostEpoch) {
+        if (epoch == lostEpoch) {
             epoch = 0;
-            teller.accept(under, "owned no more");
+            listener.accept(lostEpoch, "owned no more");
         }
     }
 }
--- a/src/main/java/gorserill/cluster/shared/Allowance.java
+++ b/src/main/java/gorserill/cluster/shared/Allowance.java
@@ -1,12 +1,13 @@
 package gorserill.cluster.shared;
 
 /**
- * What a node may spend of a budget until its lease is over, and after that.
+ * A node's share of a budget. Once its lease has expired, only the node's part of the guaranteed floor remains.
  *
- * @param validUntil by the member's clock, milliseconds
+ * @param thousandths of what is left of the budget after the floor
+ * @param validUntil when the lease expires, in milliseconds of the member's clock
  */
 public record Allowance(Budget budget, int thousandths, long validUntil) {
-    /** The part of the whole that it may spend now. */
+    /** Returns the fraction of the whole budget that the node may use at {@code now}, by the member's clock. */
     public double share(long now) {
         return budget.share(now < validUntil ? thousandths : 0);
     }
--- a/src/main/java/gorserill/cluster/shared/Budget.java
+++ b/src/main/java/gorserill/cluster/shared/Budget.java
@@ -1,16 +1,17 @@
 package gorserill.cluster.shared;
 
 /**
- * What all nodes together may take in of some jobs.
+ * A limit on the rate at which all nodes together admit certain jobs.
  *
- * @param jobClass whose jobs count, by its place in the settings; -1 for all classes
- * @param tenant whose jobs count, by its place in the settings; -1 for all
- * @param perSecond jobs a second, over all nodes
- * @param burst jobs beyond that at once, over all nodes
- * @param floorPercent of both that is divided evenly among {@code nodes} for good, so that each has something
- *     while it hears nothing
- * @param nodes that there are at the most
- * @param hard whether it is never exceeded; else a node that hears nothing keeps its part for a lease more
+ * @param jobClass index, in the settings, of the class of jobs that it limits; -1 for all classes
+ * @param tenant index, in the settings, of the tenant whose jobs it limits; -1 for all tenants
+ * @param perSecond jobs a second over all nodes
+ * @param burst jobs that may be admitted at once in addition, over all nodes
+ * @param floorPercent percentage of rate and burst that is divided permanently and evenly among {@code nodes},
+ *     so that a node can admit some jobs while it is cut off
+ * @param nodes the maximum number of nodes
+ * @param hard whether the limit is never exceeded; with a soft budget, a node that is cut off keeps its share
+ *     for one lease longer
  */
 public record Budget(
         String name,
@@ -21,27 +22,29 @@
         int floorPercent,
         int nodes,
         boolean hard) {
+    /** Returns each node's part of the floor, as a fraction of the whole budget. */
     double floor() {
         return floorPercent / 100.0 / nodes;
     }
 
-    /** The part of the whole that a node has with so many thousandths of what is given out. */
+    /** Returns a node's fraction of the whole budget, given its thousandths of what is left after the floor. */
     double share(int thousandths) {
         return floor() + (1 - floorPercent / 100.0) * thousandths / BudgetShares.WHOLE_THOUSANDTHS;
     }
 
-    /** The thousandths that a node needs to spend so much a second. */
+    /** Returns the thousandths that a node needs to admit {@code jobsPerSecond}. */
     int thousandthsFor(double jobsPerSecond) {
-        double beyond = jobsPerSecond / perSecond - floor();
-        double given = 1 - floorPercent / 100.0;
-        return beyond <= 0 || given <= 0
+        double beyondFloor = jobsPerSecond / perSecond - floor();
+        double assignable = 1 - floorPercent / 100.0;
+        return beyondFloor <= 0 || assignable <= 0
                 ? 0
                 : (int) Math.min(
-                        BudgetShares.WHOLE_THOUSANDTHS, Math.ceil(beyond / given * BudgetShares.WHOLE_THOUSANDTHS));
+                        BudgetShares.WHOLE_THOUSANDTHS,
+                        Math.ceil(beyondFloor / assignable * BudgetShares.WHOLE_THOUSANDTHS));
     }
 
-    /** Whether a job counts. */
-    public boolean appliesTo(int itsClass, int itsTenant) {
-        return (jobClass < 0 || jobClass == itsClass) && (tenant < 0 || tenant == itsTenant);
+    /** Returns whether jobs of a class and tenant are limited by this budget. */
+    public boolean appliesTo(int classIndex, int tenantIndex) {
+        return (jobClass < 0 || jobClass == classIndex) && (tenant < 0 || tenant == tenantIndex);
     }
 }
--- a/src/main/java/gorserill/cluster/shared/BudgetClient.java
+++ b/src/main/java/gorserill/cluster/shared/BudgetClient.java
@@ -10,190 +10,200 @@
 import java.util.function.IntConsumer;
 
 /**
- * A node's side of the budgets: it asks for as much as it is asked for, keeps no more than its due, and
- * spends no more than the log says it has. On the member's thread.
+ * Manages a node's shares of the budgets: requests shares to match the node's demand, returns what exceeds its
+ * fair share, and publishes allowances that never exceed what the log assigns to the node. Runs on the
+ * member's thread.
  */
 public final class BudgetClient {
-    /** Wanted beyond what is spent, so that a part can grow. */
-    private static final double ROOM = 1.2;
-    /** Thousandths by which a wish must change to be told, at the most. */
-    private static final int WORTH_TELLING = 15;
-    /** A small wish must change by this part of itself. Danger: of many nodes each wants but a few thousandths. */
-    private static final int WORTH_TELLING_PART = 4;
-
-    /** The member, as the spender sees it. */
+    /** Factor by which requests exceed current demand, so that a share can grow with it. */
+    private static final double HEADROOM = 1.2;
+    /** A change of more than this many thousandths is always requested. */
+    private static final int MAX_IGNORED_CHANGE_THOUSANDTHS = 15;
+    /**
+     * For small shares, a change of more than the share divided by this is requested: where many nodes share a
+     * budget, each requests only a few thousandths and a fixed threshold would suppress all requests.
+     */
+    private static final int IGNORED_CHANGE_DIVISOR = 4;
+
+    /** What the client needs of the cluster member. */
     public interface MemberLink {
-        /** 0 where this node has no life in the register. */
+        /** Returns the node's current life, or 0 if it has none in the register. */
         long life();
 
-        /** Until when, by the ground's clock, what was heard last holds. */
+        /** Returns when the node's lease expires, in milliseconds of the ground's clock. */
         long leaseUntil();
 
-        /** Says what is wanted and kept; the answer is what this node has, or -1 where none came. */
+        /** Requests a share; {@code then} receives the thousandths that the node has, or -1 without an answer. */
         void request(String budget, int wants, int keeps, long turn, IntConsumer then);
     }
 
-    private static final class Held {
+    private static final class NodeShare {
         final Budget budget;
-        double demand;
+        double demandPerSecond;
         long life;
-        int has;
-        int due;
-        int wanted;
+        int assigned;
+        int fairShare;
+        int requested;
         long turn;
-        /** The turn of what was heard of last. */
-        long heard;
-        /** The turn as of which the due was told; it says nothing of later ones. */
-        long dueAsOf;
-        /** No more than this until the word that said so is known to be in the log, or never to come. */
+        /** Turn of the newest state that was received from the leader. */
+        long receivedTurn;
+        /** Turn up to which the received fair share takes this node's requests into account. */
+        long fairShareTurn;
+        /** Limits the allowance until the request that returned the rest is either in the log or known to be lost. */
         int cap = BudgetShares.WHOLE_THOUSANDTHS;
 
-        boolean asking;
+        boolean requestPending;
 
-        Held(Budget budget) {
+        NodeShare(Budget budget) {
             this.budget = budget;
         }
     }
 
     private final Ground ground;
     private final MemberLink link;
-    private final long beat;
-    private final long grace;
+    private final long intervalMs;
+    private final long graceMs;
     private final boolean givesBackLate;
-    private final Consumer<List<Allowance>> out;
-    private final Map<String, Held> held = new TreeMap<>();
+    private final Consumer<List<Allowance>> allowanceListener;
+    private final Map<String, NodeShare> shares = new TreeMap<>();
 
     /**
-     * @param beat milliseconds between looks at what is wanted
-     * @param lease milliseconds that a soft budget's part is kept beyond its end
-     * @param givesBackLate a fault that can be planted: a part is spent until its return is in the log
-     * @param out where what may be spent goes, each time that it changes
+     * @param intervalMs milliseconds between checks of demand
+     * @param leaseMs milliseconds for which a share of a soft budget remains usable after its lease has expired
+     * @param givesBackLate a fault that can be planted: a share is used until its return is in the log
+     * @param allowanceListener receives all allowances, ordered by the budgets' names
      */
     public BudgetClient(
             List<Budget> budgets,
             Ground ground,
             MemberLink link,
-            long beat,
-            long lease,
+            long intervalMs,
+            long leaseMs,
             boolean givesBackLate,
-            Consumer<List<Allowance>> out) {
-        budgets.forEach(budget -> held.put(budget.name(), new Held(budget)));
+            Consumer<List<Allowance>> allowanceListener) {
+        budgets.forEach(budget -> shares.put(budget.name(), new NodeShare(budget)));
         this.ground = ground;
         this.link = link;
-        this.beat = beat;
+        this.intervalMs = intervalMs;
         this.givesBackLate = givesBackLate;
-        grace = lease;
-        this.out = out;
+        graceMs = leaseMs;
+        this.allowanceListener = allowanceListener;
     }
 
     public void start() {
-        look();
+        checkDemand();
     }
 
-    /** How many jobs a second were asked for, admitted or not. */
+    /** Records the jobs a second that were requested of a budget, admitted or not. */
     public void updateDemand(String budget, double perSecond) {
-        Held its = held.get(budget);
-        if (its != null) {
-            its.demand = perSecond;
+        NodeShare share = shares.get(budget);
+        if (share != null) {
+            share.demandPerSecond = perSecond;
         }
     }
 
-    /** What a leader says that this node has. */
+    /** Applies the state of this node's shares from a leader's view. */
     public void applyView(JsonNode budgets) {
-        for (JsonNode one : budgets) {
-            Held its = held.get(one.path("budget").asText());
-            if (its == null) {
+        for (JsonNode entry : budgets) {
+            NodeShare share = shares.get(entry.path("budget").asText());
+            if (share == null) {
                 continue;
             }
-            renewLife(its);
-            long turn = one.path("turn").asLong();
-            // Danger: a view made before this node's last word was in the log knows nothing of what it gave
-            // back.
-            if (turn >= its.heard) {
-                its.heard = turn;
-                its.has = one.path("has").asInt();
-                its.due = one.path("due").asInt();
-                its.dueAsOf = turn;
-                if (turn >= its.turn) {
-                    its.cap = BudgetShares.WHOLE_THOUSANDTHS;
+            resetOnNewLife(share);
+            long turn = entry.path("turn").asLong();
+            // A view made before this node's last request was in the log still contains what the request
+            // returned.
+            if (turn >= share.receivedTurn) {
+                share.receivedTurn = turn;
+                share.assigned = entry.path("has").asInt();
+                share.fairShare = entry.path("due").asInt();
+                share.fairShareTurn = turn;
+                if (turn >= share.turn) {
+                    share.cap = BudgetShares.WHOLE_THOUSANDTHS;
                 }
             }
         }
-        tell();
+        publishAllowances();
     }
 
-    /** Danger: what a life had is nothing to the next. */
-    private void renewLife(Held its) {
-        if (its.life != link.life()) {
-            its.life = link.life();
-            its.has = 0;
-            its.due = 0;
-            its.wanted = 0;
-            its.turn = 0;
-            its.heard = 0;
-            its.dueAsOf = 0;
-            its.cap = BudgetShares.WHOLE_THOUSANDTHS;
-            its.asking = false;
+    /** Discards the state of a former life, whose shares the current life does not hold. */
+    private void resetOnNewLife(NodeShare share) {
+        if (share.life != link.life()) {
+            share.life = link.life();
+            share.assigned = 0;
+            share.fairShare = 0;
+            share.requested = 0;
+            share.turn = 0;
+            share.receivedTurn = 0;
+            share.fairShareTurn = 0;
+            share.cap = BudgetShares.WHOLE_THOUSANDTHS;
+            share.requestPending = false;
         }
     }
 
-    private void look() {
-        for (Held its : held.values()) {
-            renewLife(its);
-            int wants = its.budget.thousandthsFor(its.demand * ROOM);
-            // Danger: the due of before a wish would have what the wish has brought given back.
-            int due = its.dueAsOf >= its.turn ? its.due : BudgetShares.WHOLE_THOUSANDTHS;
-            int keeps = Math.min(its.has, Math.max(Math.min(wants, due), 0));
-            boolean changed = Math.abs(wants - its.wanted) > worthTelling(its.wanted) || wants == 0 && its.wanted > 0;
-            if (its.life > 0
-                    && !its.asking
-                    && (changed || its.has - due > worthTelling(due) || its.cap < BudgetShares.WHOLE_THOUSANDTHS)) {
-                say(its, wants, Math.min(keeps, its.cap));
+    private void checkDemand() {
+        for (NodeShare share : shares.values()) {
+            resetOnNewLife(share);
+            int wants = share.budget.thousandthsFor(share.demandPerSecond * HEADROOM);
+            // A fair share computed before the latest request is ignored: it would return what that request
+            // has just obtained.
+            int fairShare = share.fairShareTurn >= share.turn ? share.fairShare : BudgetShares.WHOLE_THOUSANDTHS;
+            int keeps = Math.min(share.assigned, Math.max(Math.min(wants, fairShare), 0));
+            boolean changed = Math.abs(wants - share.requested) > ignoredChange(share.requested)
+                    || wants == 0 && share.requested > 0;
+            if (share.life > 0
+                    && !share.requestPending
+                    && (changed
+                            || share.assigned - fairShare > ignoredChange(fairShare)
+                            || share.cap < BudgetShares.WHOLE_THOUSANDTHS)) {
+                request(share, wants, Math.min(keeps, share.cap));
             }
         }
-        tell();
-        ground.after(beat, this::look);
+        publishAllowances();
+        ground.after(intervalMs, this::checkDemand);
     }
 
-    private static int worthTelling(int thousandths) {
-        return Math.min(WORTH_TELLING, thousandths / WORTH_TELLING_PART);
+    private static int ignoredChange(int thousandths) {
+        return Math.min(MAX_IGNORED_CHANGE_THOUSANDTHS, thousandths / IGNORED_CHANGE_DIVISOR);
     }
 
-    private void say(Held its, int wants, int keeps) {
-        long life = its.life;
-        long turn = ++its.turn;
-        its.asking = true;
-        its.wanted = wants;
-        // Danger: what is given back may be another's before this node hears of it; so it is let go of first.
-        its.cap = givesBackLate ? BudgetShares.WHOLE_THOUSANDTHS : Math.min(its.cap, keeps);
-        tell();
-        link.request(its.budget.name(), wants, keeps, turn, has -> {
-            if (its.life != life || its.turn != turn) {
+    private void request(NodeShare share, int wants, int keeps) {
+        long life = share.life;
+        long turn = ++share.turn;
+        share.requestPending = true;
+        share.requested = wants;
+        // The returned part may be assigned to another node before this node gets the answer, so it stops
+        // using that part first.
+        share.cap = givesBackLate ? BudgetShares.WHOLE_THOUSANDTHS : Math.min(share.cap, keeps);
+        publishAllowances();
+        link.request(share.budget.name(), wants, keeps, turn, assigned -> {
+            if (share.life != life || share.turn != turn) {
                 return;
             }
-            its.asking = false;
-            if (has >= 0 && turn >= its.heard) {
-                its.heard = turn;
-                its.has = has;
-                its.cap = BudgetShares.WHOLE_THOUSANDTHS;
-                tell();
+            share.requestPending = false;
+            if (assigned >= 0 && turn >= share.receivedTurn) {
+                share.receivedTurn = turn;
+                share.assigned = assigned;
+                share.cap = BudgetShares.WHOLE_THOUSANDTHS;
+                publishAllowances();
             }
         });
     }
 
-    private void tell() {
+    private void publishAllowances() {
         List<Allowance> all = new ArrayList<>();
-        for (Held its : held.values()) {
-            int may = its.life > 0 && its.life == link.life() ? Math.min(its.has, its.cap) : 0;
-            all.add(new Allowance(its.budget, may, link.leaseUntil() + (its.budget.hard() ? 0 : grace)));
+        for (NodeShare share : shares.values()) {
+            int usable = share.life > 0 && share.life == link.life() ? Math.min(share.assigned, share.cap) : 0;
+            all.add(new Allowance(share.budget, usable, link.leaseUntil() + (share.budget.hard() ? 0 : graceMs)));
         }
-        out.accept(all);
+        allowanceListener.accept(all);
     }
 
-    /** What this node has and is due, by budget, in thousandths. */
+    /** Returns by budget, in thousandths: the usable share, the fair share and the requested share. */
     public Map<String, int[]> shareFigures() {
         Map<String, int[]> figures = new TreeMap<>();
-        held.forEach((name, its) -> figures.put(name, new int[] {Math.min(its.has, its.cap), its.due, its.wanted}));
+        shares.forEach((name, share) ->
+                figures.put(name, new int[] {Math.min(share.assigned, share.cap), share.fairShare, share.requested}));
         return figures;
     }
 }
--- a/src/main/java/gorserill/cluster/shared/BudgetLimiter.java
+++ b/src/main/java/gorserill/cluster/shared/BudgetLimiter.java
@@ -6,107 +6,108 @@
 import java.util.function.LongSupplier;
 
 /**
- * Lets jobs in as far as the budgets go. On the thread that takes jobs; what may be spent is handed over
- * whole, so a change of it is seen by the next job. What is counted is the job's entry: one that its thread
- * is stalled with behind this point was let in before.
+ * Admits jobs within the node's shares of the budgets. It runs on the thread that accepts jobs; new allowances
+ * replace all former ones at once, so the next job sees a change. A job counts when it is admitted: a job
+ * whose thread stalls after that point was admitted under the former allowances.
  */
 public final class BudgetLimiter {
-    /** Demand is told so often, microseconds, and follows what was asked for with this weight. */
-    private static final long TELLING = 100_000;
+    private static final long DEMAND_INTERVAL_MICROS = 100_000;
+    /** Weight of a new interval in the moving average of demand. */
+    private static final double DEMAND_WEIGHT = 0.3;
 
-    private static final double WEIGHT = 0.3;
-
-    private static final class Way {
+    private static final class LimitedBudget {
         final TokenBucket bucket = new TokenBucket();
         final Budget budget;
-        int asked;
-        double demand;
-        /** The lowest share since a job was last asked about. */
-        double lowest = 1;
+        int requested;
+        double demandPerSecond;
+        /** The lowest share since the previous call of {@link #tryAdmit} for this budget. */
+        double lowestShare = 1;
 
-        Way(Budget budget) {
+        LimitedBudget(Budget budget) {
             this.budget = budget;
         }
     }
 
     private final LongSupplier memberMillis;
-    private final BiConsumer<String, Double> demand;
-    private final List<Way> ways = new ArrayList<>();
+    private final BiConsumer<String, Double> demandListener;
+    private final List<LimitedBudget> limits = new ArrayList<>();
     private List<Allowance> allowances = List.of();
-    private long toldAt = Long.MIN_VALUE;
+    private long reportedAtMicros = Long.MIN_VALUE;
 
     /**
-     * @param memberMillis the member's clock, by which leases run
-     * @param demand is told what was asked for a second, by budget
+     * @param memberMillis the member's clock, by which leases are measured
+     * @param demandListener receives the jobs a second that were requested of each budget, admitted or not
      */
-    public BudgetLimiter(List<Budget> budgets, LongSupplier memberMillis, BiConsumer<String, Double> demand) {
-        budgets.stream().sorted((a, b) -> a.name().compareTo(b.name())).forEach(b -> ways.add(new Way(b)));
+    public BudgetLimiter(List<Budget> budgets, LongSupplier memberMillis, BiConsumer<String, Double> demandListener) {
+        budgets.stream().sorted((a, b) -> a.name().compareTo(b.name())).forEach(b -> limits.add(new LimitedBudget(b)));
         this.memberMillis = memberMillis;
-        this.demand = demand;
+        this.demandListener = demandListener;
     }
 
-    /** What may be spent from here on; any thread. In the order of the budgets' names. */
+    /** Replaces the allowances, which are ordered by the budgets' names. May be called on any thread. */
     public synchronized void updateAllowances(List<Allowance> all) {
         long now = memberMillis.getAsLong();
-        for (int i = 0; i < ways.size(); i++) {
-            Way way = ways.get(i);
-            // Danger: a lease that ran out and came back while no job was asked about was another's
-            // meanwhile.
-            way.lowest = Math.min(way.lowest, Math.min(share(i, now), all.get(i).share(now)));
+        for (int i = 0; i < limits.size(); i++) {
+            LimitedBudget limit = limits.get(i);
+            // A lease may expire and be granted again between two jobs. Another node held the share in between,
+            // so the bucket must not be refilled for that time.
+            limit.lowestShare = Math.min(
+                    limit.lowestShare, Math.min(share(i, now), all.get(i).share(now)));
         }
         allowances = List.copyOf(all);
     }
 
     private double share(int i, long now) {
         return allowances.isEmpty()
-                ? ways.get(i).budget.share(0)
+                ? limits.get(i).budget.share(0)
                 : allowances.get(i).share(now);
     }
 
     /**
-     * Asks for a job to be let in.
+     * Admits a job if all budgets that apply to it have a token.
      *
-     * @param micros the time
-     * @return 0 where it is; else microseconds after which it may come again
+     * @param micros the time, in microseconds of a monotonic clock
+     * @return 0 if the job is admitted, else the microseconds after which to try again
      */
     public synchronized long tryAdmit(long micros, int jobClass, int tenant) {
-        long member = memberMillis.getAsLong();
-        long longest = 0;
-        for (int i = 0; i < ways.size(); i++) {
-            Way way = ways.get(i);
-            if (way.budget.appliesTo(jobClass, tenant)) {
-                way.asked++;
-                double share = share(i, member);
-                longest = Math.max(
-                        longest,
-                        way.bucket.waitMicros(
+        long memberNow = memberMillis.getAsLong();
+        long longestWait = 0;
+        for (int i = 0; i < limits.size(); i++) {
+            LimitedBudget limit = limits.get(i);
+            if (limit.budget.appliesTo(jobClass, tenant)) {
+                limit.requested++;
+                double share = share(i, memberNow);
+                longestWait = Math.max(
+                        longestWait,
+                        limit.bucket.waitMicros(
                                 micros,
-                                way.budget.perSecond() * Math.min(way.lowest, share),
-                                way.budget.burst() * share));
-                way.lowest = share;
+                                limit.budget.perSecond() * Math.min(limit.lowestShare, share),
+                                limit.budget.burst() * share));
+                limit.lowestShare = share;
             }
         }
-        for (Way way : ways) {
-            if (longest == 0 && way.budget.appliesTo(jobClass, tenant)) {
-                way.bucket.take();
+        for (LimitedBudget limit : limits) {
+            if (longestWait == 0 && limit.budget.appliesTo(jobClass, tenant)) {
+                limit.bucket.take();
             }
         }
         reportDemand(micros);
-        return longest;
+        return longestWait;
     }
 
-    /** To be called now and then also while no job comes. */
+    /** Reports demand once an interval has passed. Has to be called regularly also while no jobs arrive. */
     public synchronized void reportDemand(long micros) {
-        if (toldAt == Long.MIN_VALUE) {
-            toldAt = micros;
-        } else if (micros - toldAt >= TELLING) {
-            double seconds = (micros - toldAt) / 1e6;
-            double weight = 1 - Math.pow(1 - WEIGHT, (micros - toldAt) / (double) TELLING);
-            toldAt = micros;
-            for (Way way : ways) {
-                way.demand += weight * (way.asked / seconds - way.demand);
-                way.asked = 0;
-                demand.accept(way.budget.name(), way.demand);
+        if (reportedAtMicros == Long.MIN_VALUE) {
+            reportedAtMicros = micros;
+        } else if (micros - reportedAtMicros >= DEMAND_INTERVAL_MICROS) {
+            double seconds = (micros - reportedAtMicros) / 1e6;
+            double weight =
+                    1 - Math.pow(1 - DEMAND_WEIGHT, (micros - reportedAtMicros) / (double) DEMAND_INTERVAL_MICROS);
+            reportedAtMicros = micros;
+            for (LimitedBudget limit : limits) {
+                limit.demandPerSecond += weight * (limit.requested / seconds - limit.demandPerSecond);
+                limit.requested = 0;
+                demandListener.accept(limit.budget.name(), limit.demandPerSecond);
             }
         }
     }
--- a/src/main/java/gorserill/cluster/shared/RetryBudget.java
+++ b/src/main/java/gorserill/cluster/shared/RetryBudget.java
@@ -1,36 +1,35 @@
 package gorserill.cluster.shared;
 
 /**
- * Further attempts as a part of first ones. Each node earns its own by its own first attempts, so over any
- * fleet, cut as it may be, all further attempts together are at most that part of all first ones: nothing
- * needs to be heard for it. It begins with nothing, so a restart gives nothing away. Danger: without it a
- * lost zone multiplies what the rest has to bear, and the storm feeds on itself when the zone is back.
+ * Limits retries to a fraction of first attempts. Each node earns its retries by its own first attempts, so
+ * the fraction holds over the whole fleet under any network partition without communication. It starts at
+ * zero, so that a restart grants no retries. Without the limit, the loss of a zone multiplies the load on the
+ * remaining workers, and the retries keep the overload up after the zone has returned.
  */
 public final class RetryBudget {
-    private final double part;
-    private final double most;
-    private double earned;
+    private final double retriesPerAttempt;
+    private final double maxSaved;
+    private double saved;
 
     /**
-     * @param part further attempts for each first one
-     * @param most that can be saved up for a bad moment
+     * @param retriesPerAttempt retries earned by each first attempt
+     * @param maxSaved the most retries that can be saved up
      */
-    public RetryBudget(double part, double most) {
-        this.part = part;
-        this.most = most;
+    public RetryBudget(double retriesPerAttempt, double maxSaved) {
+        this.retriesPerAttempt = retriesPerAttempt;
+        this.maxSaved = maxSaved;
     }
 
-    /** A first attempt is made. */
     public void recordFirstAttempt() {
-        earned = Math.min(most, earned + part);
+        saved = Math.min(maxSaved, saved + retriesPerAttempt);
     }
 
-    /** Whether a further one may be; then it is counted. */
+    /** Consumes one saved retry; returns false if there is none. */
     public boolean tryRetry() {
-        if (earned < 1) {
+        if (saved < 1) {
             return false;
         }
-        earned--;
+        saved--;
         return true;
     }
 }
--- a/src/main/java/gorserill/cluster/shared/TokenBucket.java
+++ b/src/main/java/gorserill/cluster/shared/TokenBucket.java
@@ -1,40 +1,45 @@
 package gorserill.cluster.shared;
 
 /**
- * What a node may spend of a budget: a token bucket (RFC 2697 has one as its committed rate and burst) whose
- * rate and depth are the node's part. It begins empty. Danger: one that began full would give a process that
- * is killed again and again a burst each time.
+ * A token bucket (compare the committed rate and burst of RFC 2697) whose rate and depth follow the node's
+ * share of a budget. It starts empty: if it started full, a process that is killed and restarted repeatedly
+ * would be granted a burst at each start.
  */
 public final class TokenBucket {
+    private static final double MICROS_PER_SECOND = 1e6;
+
     private double tokens;
-    private long filledAt = Long.MIN_VALUE;
+    private long refilledAtMicros = Long.MIN_VALUE;
 
-    /** Brings it up to date; what is over the depth is gone, also where the depth has just become less. */
-    private void fill(long micros, double perSecond, double burst) {
-        if (filledAt != Long.MIN_VALUE && micros > filledAt) {
-            tokens += (micros - filledAt) / 1e6 * perSecond;
+    /** Refills the bucket and discards tokens beyond its depth, also when the depth has just been reduced. */
+    private void refill(long micros, double perSecond, double burst) {
+        if (refilledAtMicros != Long.MIN_VALUE && micros > refilledAtMicros) {
+            tokens += (micros - refilledAtMicros) / MICROS_PER_SECOND * perSecond;
         }
-        filledAt = Math.max(filledAt, micros);
+        refilledAtMicros = Math.max(refilledAtMicros, micros);
         tokens = Math.min(tokens, burst);
     }
 
     /**
-     * Whether a job may enter.
+     * Refills the bucket and returns how long a job has to wait for a token.
      *
-     * @param micros the time, microseconds of any clock that goes forward
-     * @param perSecond the lowest rate since it was asked last. Danger: filled up for a time in which another
-     * had     this part, it would be spent twice
-     * @param burst the depth; at least a job's, or a small part would never let one in
-     * @return 0 where it may; else microseconds until it could
+     * @param micros the time, in microseconds of any monotonic clock
+     * @param perSecond the lowest rate since the previous call; a higher one would refill the bucket for a time
+     *     in which another node held the share, and the share would be spent twice
+     * @param burst the depth; raised to one token where it is less, as a small share would otherwise never
+     *     admit a job
+     * @return 0 if a token is available, else the microseconds until one is
      */
     public long waitMicros(long micros, double perSecond, double burst) {
-        fill(micros, perSecond, Math.max(1, burst));
+        refill(micros, perSecond, Math.max(1, burst));
         return tokens >= 1
                 ? 0
-                : perSecond <= 0 ? Long.MAX_VALUE : Math.max(1, (long) Math.ceil((1 - tokens) / perSecond * 1e6));
+                : perSecond <= 0
+                        ? Long.MAX_VALUE
+                        : Math.max(1, (long) Math.ceil((1 - tokens) / perSecond * MICROS_PER_SECOND));
     }
 
-    /** A job enters. */
+    /** Removes a token for an admitted job. */
     public void take() {
         tokens--;
     }
--- a/src/main/java/gorserill/cluster/shared/package-info.java
+++ b/src/main/java/gorserill/cluster/shared/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Budgets that all nodes spend from, within bounds also where some hear nothing: {@link
- * gorserill.cluster.shared.BudgetShares} is what the log says of who has which part, {@link
- * gorserill.cluster.shared.BudgetClient} a node's side of it, {@link gorserill.cluster.shared.TokenBucket} what it
- * spends.
+ * Budgets that limit the rate of jobs over the whole cluster, and keep to the limit while nodes are cut off.
+ * {@link gorserill.cluster.shared.BudgetShares} is the replicated state that assigns each node its share,
+ * {@link gorserill.cluster.shared.BudgetClient} requests and returns shares on a node, and {@link
+ * gorserill.cluster.shared.BudgetLimiter} admits jobs within them, with a {@link
+ * gorserill.cluster.shared.TokenBucket} for each budget.
  */
 package gorserill.cluster.shared;
--- a/src/main/java/gorserill/cluster/standing/StandingJob.java
+++ b/src/main/java/gorserill/cluster/standing/StandingJob.java
@@ -6,16 +6,17 @@
 import java.time.ZonedDateTime;
 
 /**
- * A job of the fleet at set times, which are numbered.
+ * A job that the cluster runs at scheduled times. The occurrences are numbered: consecutive intervals since the
+ * Unix epoch, or days since then.
  *
- * @param name of the piece of work that it is
- * @param jobClass the class's name
- * @param body what workers are sent
- * @param intervalMs milliseconds between two times; 0 where it is a time of day
- * @param timeOfDay the time of day, in {@code zone}; null where it comes at intervals
- * @param missedPolicy what becomes of times that passed while nobody could act
- * @param latenessLimitMs milliseconds after which a time that was not acted on counts as missed
- * @param repeatable whether an act of unknown end may be done once more: its class allows it
+ * @param name of the piece of work whose owner runs the job
+ * @param jobClass the name of the class
+ * @param body the request body that is sent to a worker
+ * @param intervalMs milliseconds between two occurrences; 0 where a time of day is set
+ * @param timeOfDay in {@code zone}; null where an interval is set
+ * @param missedPolicy what happens to occurrences that passed while no node could run them
+ * @param latenessLimitMs milliseconds after which an occurrence that has not been claimed counts as missed
+ * @param repeatable whether the class allows an occurrence of unknown outcome to run again
  */
 public record StandingJob(
         String name,
@@ -27,26 +28,26 @@
         MissedPolicy missedPolicy,
         long latenessLimitMs,
         boolean repeatable) {
-    /** SKIP: they are left out. LAST: the last of them is made up for. ALL: each, the oldest first. */
+    /** Which missed occurrences are run late: none, the last one, or all of them with the oldest first. */
     public enum MissedPolicy {
         SKIP,
         LAST,
         ALL
     }
 
-    /** The number of the last time that is not after this moment, Unix milliseconds. */
+    /** Returns the number of the latest occurrence at or before {@code now}, in Unix milliseconds. */
     public long occurrenceAt(long now) {
         if (timeOfDay == null) {
             return Math.floorDiv(now, intervalMs);
         }
-        ZonedDateTime here = Instant.ofEpochMilli(now).atZone(zone);
-        long day = here.toLocalDate().toEpochDay();
-        // Danger: on the day that clocks are put forward the time may not be there; it then is the next there
-        // is.
+        ZonedDateTime local = Instant.ofEpochMilli(now).atZone(zone);
+        long day = local.toLocalDate().toEpochDay();
+        // On the day that clocks go forward, the time of day may not exist. The occurrence is then moved by the
+        // length of the gap.
         return timeOf(day) <= now ? day : day - 1;
     }
 
-    /** When a time of that number is, Unix milliseconds. */
+    /** Returns when the occurrence with this number is due, in Unix milliseconds. */
     public long timeOf(long number) {
         return timeOfDay == null
                 ? number * intervalMs
--- a/src/main/java/gorserill/cluster/standing/StandingJobScheduler.java
+++ b/src/main/java/gorserill/cluster/standing/StandingJobScheduler.java
@@ -13,79 +13,77 @@
 import java.util.function.LongSupplier;
 
 /**
- * Fires standing jobs at the node that owns them. Each time is an act that is claimed first: of a class that
- * must never run twice it is fired once at the most, of any other once at least and, by its key, once in
- * effect. All of it runs on the member's thread.
+ * Runs standing jobs at the node that owns them. Each occurrence is claimed in the log as an act before it
+ * runs. A job of a non-repeatable class runs at most once; any other runs at least once, and its key makes
+ * repeated runs take effect only once. All calls are made on the member's thread.
  */
 public final class StandingJobScheduler implements Duty {
-    /** What became of a job that was handed over. */
+    /** The result of a job that was passed to the node. */
     public enum JobResult {
         SERVED,
-        /** It never ran, and may be tried again. */
+        /** The job did not run and may be tried again. */
         REFUSED,
         FAILED
     }
 
-    /** Hands a job to the node; the end is told once, on the member's thread. */
+    /** Passes a job to the node, and its result to {@code then}, once, on the member's thread. */
     @FunctionalInterface
     public interface Runner {
         void run(StandingJob job, long time, long epoch, int attempt, Consumer<JobResult> then);
     }
 
-    /** Hears what is done, for the log. */
+    /** Receives a line for the log on each step of an occurrence. */
     @FunctionalInterface
     public interface EventListener {
         void onEvent(String job, long number, long epoch, String what);
     }
 
-    /** A job that is refused is tried again after so long, so often. */
-    private static final long AGAIN = 500;
+    private static final long REFUSED_RETRY_MS = 500;
+    private static final int MAX_REFUSED_RETRIES = 20;
+    private static final long CLAIM_RETRY_MS = 50;
+    /** The most missed occurrences that are considered; older ones are left out. */
+    private static final int MAX_CATCH_UP = 100;
 
-    private static final int TRIES = 20;
-    private static final long AGAIN_CLAIM = 50;
-    /** Times that are made up for at once, at the most. */
-    private static final int CAUGHT_UP = 100;
+    private static final long MAX_SLEEP_MS = 60_000;
 
-    private static final long LONGEST_SLEEP = 60_000;
-
-    private static final class Owned {
+    private static final class OwnedJob {
         final StandingJob job;
         final long epoch;
-        /** The highest time that was dealt with. */
-        long done;
+        /** The highest occurrence that has been claimed or left out. */
+        long lastHandled;
 
-        int open;
+        int openActs;
         boolean claiming;
         Runnable whenIdle;
 
-        Owned(StandingJob job, long epoch, long done) {
+        OwnedJob(StandingJob job, long epoch, long lastHandled) {
             this.job = job;
             this.epoch = epoch;
-            this.done = done;
+            this.lastHandled = lastHandled;
         }
     }
 
     private final Map<String, StandingJob> jobs = new LinkedHashMap<>();
-    private final Map<String, Owned> owned = new HashMap<>();
+    private final Map<String, OwnedJob> ownedJobs = new HashMap<>();
     private final Ground ground;
-    private final LongSupplier unix;
+    private final LongSupplier unixMillis;
     private final Runner runner;
     private final EventListener listener;
     private Member member;
 
-    /** @param unix milliseconds of Unix time, for the times alone: no promise rests on it */
+    /** @param unixMillis Unix time, used for the schedule only; no guarantee depends on its accuracy */
     public StandingJobScheduler(
-            List<StandingJob> all, Ground ground, LongSupplier unix, Runner runner, EventListener listener) {
+            List<StandingJob> all, Ground ground, LongSupplier unixMillis, Runner runner, EventListener listener) {
         all.forEach(job -> jobs.put(job.name(), job));
         this.ground = ground;
-        this.unix = unix;
+        this.unixMillis = unixMillis;
         this.runner = runner;
         this.listener = listener;
     }
 
-    /** The member that claims; to be told before it starts. */
-    public void setMember(Member its) {
-        member = its;
+    /** Sets the member through which acts are claimed. Has to be called before the member starts. */
+    public void setMember(Member claimingMember) {
+        member = claimingMember;
     }
 
     public List<String> jobNames() {
@@ -98,139 +96,141 @@
         if (job == null) {
             return;
         }
-        long now = job.occurrenceAt(unix.getAsLong());
-        Owned its = new Owned(job, epoch, last > 0 ? last : now);
-        owned.put(piece, its);
+        long current = job.occurrenceAt(unixMillis.getAsLong());
+        OwnedJob owned = new OwnedJob(job, epoch, last > 0 ? last : current);
+        ownedJobs.put(piece, owned);
         listener.onEvent(piece, last, epoch, "owned from here on");
         for (long act : unknown) {
             if (job.repeatable()) {
-                again(its, act);
+                claimAgain(owned, act);
             } else {
                 listener.onEvent(piece, act, epoch, "may have run, and is not run again");
                 member.done(piece, epoch, act);
             }
         }
-        next(its);
+        next(owned);
     }
 
-    private boolean holds(Owned its) {
-        return owned.get(its.job.name()) == its && member.epoch(its.job.name()) == its.epoch && its.whenIdle == null;
+    private boolean mayClaim(OwnedJob owned) {
+        return ownedJobs.get(owned.job.name()) == owned
+                && member.epoch(owned.job.name()) == owned.epoch
+                && owned.whenIdle == null;
     }
 
     /**
-     * Deals with the times that have come, one after another, and sleeps until the next. Danger: claimed all
-     * at once, a later one could reach the log before an earlier one, which then counts as dealt with and
-     * never is.
+     * Claims or leaves out the occurrences that are due, one after another, and sleeps until the next. With
+     * several claims in flight, a later occurrence could reach the log before an earlier one, which would then
+     * count as handled and never run.
      */
-    private void next(Owned its) {
-        if (!holds(its) || its.claiming) {
+    private void next(OwnedJob owned) {
+        if (!mayClaim(owned) || owned.claiming) {
             return;
         }
-        StandingJob job = its.job;
-        long now = unix.getAsLong();
+        StandingJob job = owned.job;
+        long now = unixMillis.getAsLong();
         long newest = job.occurrenceAt(now);
-        long number = its.done + 1;
+        long number = owned.lastHandled + 1;
         if (number > newest) {
-            ground.after(Math.max(1, Math.min(LONGEST_SLEEP, job.timeOf(newest + 1) - now)), () -> next(its));
-        } else if (newest - number > CAUGHT_UP) {
-            its.done = newest - CAUGHT_UP;
-            listener.onEvent(job.name(), number, its.epoch, "missed, and left out: all until " + its.done);
-            next(its);
+            ground.after(Math.max(1, Math.min(MAX_SLEEP_MS, job.timeOf(newest + 1) - now)), () -> next(owned));
+        } else if (newest - number > MAX_CATCH_UP) {
+            owned.lastHandled = newest - MAX_CATCH_UP;
+            listener.onEvent(job.name(), number, owned.epoch, "missed, and left out: all until " + owned.lastHandled);
+            next(owned);
         } else if (now - job.timeOf(number) <= job.latenessLimitMs()
                 || job.missedPolicy() == StandingJob.MissedPolicy.ALL
                 || job.missedPolicy() == StandingJob.MissedPolicy.LAST && number == newest) {
-            claim(its, number);
+            claim(owned, number);
         } else {
-            its.done = number;
-            listener.onEvent(job.name(), number, its.epoch, "missed, and left out");
-            next(its);
+            owned.lastHandled = number;
+            listener.onEvent(job.name(), number, owned.epoch, "missed, and left out");
+            next(owned);
         }
     }
 
-    private void claim(Owned its, long number) {
-        its.claiming = true;
-        its.open++;
-        member.claim(its.job.name(), number, false, answer -> {
+    private void claim(OwnedJob owned, long number) {
+        owned.claiming = true;
+        owned.openActs++;
+        member.claim(owned.job.name(), number, false, answer -> {
             if (answer == Claimed.UNKNOWN || answer == Claimed.LATER) {
-                // Danger: given up, it would count as dealt with once a later one is claimed.
-                retry(its, number, answer, () -> claim(its, number));
+                // An occurrence that is not retried would count as handled once a later one is claimed.
+                retryClaim(owned, number, answer, () -> claim(owned, number));
                 return;
             }
-            its.claiming = false;
-            its.done = number;
-            claimed(its, number, answer, "claimed");
-            next(its);
+            owned.claiming = false;
+            owned.lastHandled = number;
+            onClaimAnswer(owned, number, answer, "claimed");
+            next(owned);
         });
     }
 
-    /** An act of a former epoch, whose end is not known, is done once more. */
-    private void again(Owned its, long number) {
-        its.open++;
-        member.claim(its.job.name(), number, true, answer -> {
+    /** Claims an act of a former epoch whose outcome is unknown, in order to run it again. */
+    private void claimAgain(OwnedJob owned, long number) {
+        owned.openActs++;
+        member.claim(owned.job.name(), number, true, answer -> {
             if (answer == Claimed.UNKNOWN || answer == Claimed.LATER) {
-                retry(its, number, answer, () -> again(its, number));
+                retryClaim(owned, number, answer, () -> claimAgain(owned, number));
             } else {
-                claimed(its, number, answer, "claimed again");
+                onClaimAnswer(owned, number, answer, "claimed again");
             }
         });
     }
 
-    /** As long as the piece is this node's under this epoch; after that its next owner sees to it. */
-    private void retry(Owned its, long number, Claimed answer, Runnable what) {
-        listener.onEvent(its.job.name(), number, its.epoch, "not claimed: " + answer);
-        over(its);
-        ground.after(AGAIN_CLAIM, () -> {
-            if (owned.get(its.job.name()) == its && its.whenIdle == null) {
-                what.run();
+    /** Retries while this node owns the piece under the same epoch; after that, its next owner handles the act. */
+    private void retryClaim(OwnedJob owned, long number, Claimed answer, Runnable retry) {
+        listener.onEvent(owned.job.name(), number, owned.epoch, "not claimed: " + answer);
+        actEnded(owned);
+        ground.after(CLAIM_RETRY_MS, () -> {
+            if (ownedJobs.get(owned.job.name()) == owned && owned.whenIdle == null) {
+                retry.run();
             }
         });
     }
 
-    private void claimed(Owned its, long number, Claimed answer, String how) {
+    private void onClaimAnswer(OwnedJob owned, long number, Claimed answer, String how) {
         if (answer == Claimed.YES) {
-            listener.onEvent(its.job.name(), number, its.epoch, how);
-            run(its, number, 0);
+            listener.onEvent(owned.job.name(), number, owned.epoch, how);
+            run(owned, number, 0);
         } else {
-            listener.onEvent(its.job.name(), number, its.epoch, "not claimed: " + answer);
-            over(its);
+            listener.onEvent(owned.job.name(), number, owned.epoch, "not claimed: " + answer);
+            actEnded(owned);
         }
     }
 
-    private void run(Owned its, long number, int tries) {
-        runner.run(its.job, its.job.timeOf(number), its.epoch, tries, end -> {
-            if (end == JobResult.REFUSED && tries < TRIES) {
-                ground.after(AGAIN, () -> run(its, number, tries + 1));
+    private void run(OwnedJob owned, long number, int retries) {
+        runner.run(owned.job, owned.job.timeOf(number), owned.epoch, retries, result -> {
+            if (result == JobResult.REFUSED && retries < MAX_REFUSED_RETRIES) {
+                ground.after(REFUSED_RETRY_MS, () -> run(owned, number, retries + 1));
                 return;
             }
-            listener.onEvent(its.job.name(), number, its.epoch, end.toString());
-            member.done(its.job.name(), its.epoch, number);
-            over(its);
+            listener.onEvent(owned.job.name(), number, owned.epoch, result.toString());
+            member.done(owned.job.name(), owned.epoch, number);
+            actEnded(owned);
         });
     }
 
-    private void over(Owned its) {
-        its.open--;
-        if (its.open == 0 && its.whenIdle != null) {
-            its.whenIdle.run();
+    private void actEnded(OwnedJob owned) {
+        owned.openActs--;
+        if (owned.openActs == 0 && owned.whenIdle != null) {
+            owned.whenIdle.run();
         }
     }
 
     @Override
     public void handOver(String piece, long epoch, Runnable then) {
-        Owned its = owned.get(piece);
-        if (its == null || its.epoch != epoch || its.open == 0) {
+        OwnedJob owned = ownedJobs.get(piece);
+        if (owned == null || owned.epoch != epoch || owned.openActs == 0) {
             then.run();
         } else {
-            its.whenIdle = then;
+            owned.whenIdle = then;
         }
     }
 
     @Override
     public void lost(String piece, long epoch) {
-        Owned its = owned.get(piece);
-        if (its != null && its.epoch == epoch) {
-            owned.remove(piece);
-            listener.onEvent(piece, its.done, epoch, "owned no more");
+        OwnedJob owned = ownedJobs.get(piece);
+        if (owned != null && owned.epoch == epoch) {
+            ownedJobs.remove(piece);
+            listener.onEvent(piece, owned.lastHandled, epoch, "owned no more");
         }
     }
 }
--- a/src/main/java/gorserill/cluster/standing/package-info.java
+++ b/src/main/java/gorserill/cluster/standing/package-info.java
@@ -1,2 +1,4 @@
-/** Standing jobs: work that the fleet does at set times, each time at one node; free of I/O. */
+/**
+ * Standing jobs: jobs that the cluster runs at scheduled times, each occurrence at one node. Free of I/O.
+ */
 package gorserill.cluster.standing;
--- a/src/test/java/gorserill/cluster/shared/BudgetClientTest.java
+++ b/src/test/java/gorserill/cluster/shared/BudgetClientTest.java
@@ -9,14 +9,14 @@
 import java.util.function.IntConsumer;
 import org.testng.annotations.Test;
 
-/** What a node asks for of a budget that a hundred nodes share evenly: a few thousandths each. */
+/** Requests of a node for a budget that a hundred nodes share evenly, a few thousandths each. */
 public class BudgetClientTest {
     private static final int NODES = 100;
     private static final double PER_SECOND = 1_000;
 
-    /** Gives each wish in full, at once. */
-    private static final class Leader implements BudgetClient.MemberLink {
-        final List<Integer> wishes = new ArrayList<>();
+    /** Grants each request in full and at once. */
+    private static final class GrantingLeader implements BudgetClient.MemberLink {
+        final List<Integer> requests = new ArrayList<>();
 
         @Override
         public long life() {
@@ -30,18 +30,18 @@
 
         @Override
         public void request(String budget, int wants, int keeps, long turn, IntConsumer then) {
-            wishes.add(wants);
+            requests.add(wants);
             then.accept(wants);
         }
     }
 
-    /** A clock that is put forward by the next thing to be done. */
-    private static final class Clock implements Ground {
+    /** Runs the next scheduled task on demand. */
+    private static final class ManualTimer implements Ground {
         private Runnable next;
 
-        void beat() {
-            Runnable due = next;
-            due.run();
+        void runNext() {
+            Runnable task = next;
+            task.run();
         }
 
         @Override
@@ -56,46 +56,46 @@
 
         @Override
         public void send(String to, byte[] message) {
-            throw new AssertionError("a spender sends nothing itself");
+            throw new AssertionError("the budget client sends no messages itself");
         }
     }
 
-    private final Leader leader = new Leader();
-    private final Clock clock = new Clock();
-    private final List<Allowance> allowed = new ArrayList<>();
-    private final BudgetClient spender = new BudgetClient(
+    private final GrantingLeader leader = new GrantingLeader();
+    private final ManualTimer timer = new ManualTimer();
+    private final List<Allowance> allowances = new ArrayList<>();
+    private final BudgetClient client = new BudgetClient(
             List.of(new Budget("team", -1, -1, PER_SECOND, 10, 20, NODES, true)),
-            clock,
+            timer,
             leader,
             100,
             1_000,
             false,
             now -> {
-                allowed.clear();
-                allowed.addAll(now);
+                allowances.clear();
+                allowances.addAll(now);
             });
 
     private void demand(double perSecond) {
-        spender.updateDemand("team", perSecond);
-        clock.beat();
+        client.updateDemand("team", perSecond);
+        timer.runNext();
     }
 
     /**
-     * Danger: where each of many nodes wants less than what is worth telling, none ever tells its wish, and all
-     * that is not their floors lies idle.
+     * Guards against a fixed threshold for requests: where each of many nodes wants less than the threshold, none
+     * requests a share and everything beyond the floors stays unused.
      */
     @Test
-    public void aSmallWishIsToldAndFollowedDownAndUp() throws Exception {
-        spender.start();
+    public void smallSharesAreRequestedAndReturned() throws Exception {
+        client.start();
         demand(PER_SECOND / NODES);
-        assertEquals(leader.wishes, List.of(13), "1.2 times an even part, less the floor, of what is given out");
+        assertEquals(leader.requests, List.of(13), "1.2 times an even share, less the floor, of the assignable rest");
         demand(PER_SECOND / NODES * 1.05);
-        assertEquals(leader.wishes.size(), 1, "a change of little is not told");
+        assertEquals(leader.requests.size(), 1, "a small change is not requested");
         demand(PER_SECOND / NODES * 2);
-        assertEquals(leader.wishes.size(), 2, "a change of much is");
-        spender.applyView(new ObjectMapper()
-                .readTree("[{\"budget\":\"team\",\"turn\":2,\"has\":" + leader.wishes.get(1) + ",\"due\":20}]"));
-        clock.beat();
-        assertEquals(leader.wishes.size(), 3, "what is beyond its due is given back");
+        assertEquals(leader.requests.size(), 2, "a large change is requested");
+        client.applyView(new ObjectMapper()
+                .readTree("[{\"budget\":\"team\",\"turn\":2,\"has\":" + leader.requests.get(1) + ",\"due\":20}]"));
+        timer.runNext();
+        assertEquals(leader.requests.size(), 3, "what exceeds the fair share is returned");
     }
 }
