--- a/src/main/java/gorserill/cluster/lab/ClusterSimulation.java
+++ b/src/main/java/gorserill/cluster/lab/ClusterSimulation.java
@@ -29,11 +29,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * One run of a cluster in virtual time. The same seed gives the same run to the byte. After each event all
- * rules are checked; the first that is broken ends the run, with what led to it.
+ * A run of a cluster in virtual time, which is reproducible byte for byte from its seed. All invariants are
+ * checked after each event; the first violation ends the run and is reported with the latest events.
  */
 public final class ClusterSimulation {
-    /** What can be made to happen. */
+    /** A fault that is injected at random times. */
     public enum Fault {
         LOSS,
         CUT,
@@ -50,20 +50,21 @@
         LEAVE
     }
 
-    /** What can be made to happen at one step of a node: a message that comes, or a time that is due. */
+    /** A fault at one step of a node, which is the delivery of a message or the expiry of a timer. */
     public enum StepFault {
-        /** The message is lost; what is due is done. */
+        /** A message is lost; a timer is not affected. */
         LOST,
-        /** It comes, or is done, a lease and a half later; what comes after it does not wait. */
+        /** The step is delayed by one and a half leases; later steps are not. */
         LATE,
-        /** The node stands still for a lease and a half before it. */
+        /** The node stalls for one and a half leases before the step. */
         STALLED,
-        /** The process dies before it, and after it. */
+        /** The process crashes before the step. */
         DIES_BEFORE,
+        /** The process crashes after the step. */
         DIES_AFTER
     }
 
-    /** What is done by plan once all has settled, so that slips can come at each step of it. */
+    /** A planned operation that starts once the cluster has settled, so that faults can be injected at its steps. */
     public enum Scenario {
         QUIET,
         LEAVE,
@@ -71,11 +72,12 @@
     }
 
     /**
-     * A run.
+     * The parameters of a run.
      *
-     * @param nodes in all, the first {@code voters} of them voting
-     * @param seconds of faults; after that all is whole for {@code calmMs} ms, in which work must go on
-     * @param stepFaults at steps that are counted from {@link #SETTLED_MS} on
+     * @param nodes number of nodes; the first {@code voters} of them vote
+     * @param seconds length of the phase with faults
+     * @param calmMs milliseconds without faults after that, in which work must proceed
+     * @param stepFaults by step, counted from {@link #SETTLED_MS} on
      */
     public record Plan(
             int nodes,
@@ -92,7 +94,16 @@
         }
     }
 
-    /** What came of it; {@code violation} is null where nothing was broken. */
+    /**
+     * The result of a run.
+     *
+     * @param violation the invariant that was violated; null if there is none
+     * @param history the latest events
+     * @param falselyEndedLives lives that were ended although the process was running
+     * @param longestGapMs the longest time in which a piece of work had no owner
+     * @param gapsMs times without an owner, after the cluster had settled
+     * @param fingerprint hash of all messages that were sent
+     */
     public record Outcome(
             String violation,
             List<String> history,
@@ -112,36 +123,36 @@
             int steps,
             List<Traffic.Figure> traffic) {}
 
-    /** What came of many runs; for any thread. */
+    /** Aggregates the results of many runs. Thread-safe. */
     public static final class RunSummary {
         private int runs;
         private int violated;
-        private long acts;
-        private long unknown;
+        private long actsRun;
+        private long unknownClaims;
         private long epochs;
-        private long lives;
-        private long replaced;
-        private long hard;
-        private long soft;
-        private long gap;
-        private final Histogram gaps = new Histogram(600_000, 3);
+        private long falselyEndedLives;
+        private long replacedVoters;
+        private long hardAdmitted;
+        private long softAdmitted;
+        private long longestGapMs;
+        private final Histogram gapsMs = new Histogram(600_000, 3);
         private long messages;
         private long bytes;
         private final List<List<Traffic.Figure>> traffic = new ArrayList<>();
 
-        /** Gives whether a rule was broken. */
+        /** Adds a result; returns whether it has a violation. */
         public synchronized boolean add(Outcome one) {
             runs++;
             violated += one.violation == null ? 0 : 1;
-            acts += one.actsRun;
-            unknown += one.unknownClaims;
+            actsRun += one.actsRun;
+            unknownClaims += one.unknownClaims;
             epochs += one.epochs;
-            lives += one.falselyEndedLives;
-            replaced += one.replacedVoters;
-            hard += one.hardAdmitted;
-            soft += one.softAdmitted;
-            gap = Math.max(gap, one.longestGapMs);
-            one.gapsMs.forEach(gaps::recordValue);
+            falselyEndedLives += one.falselyEndedLives;
+            replacedVoters += one.replacedVoters;
+            hardAdmitted += one.hardAdmitted;
+            softAdmitted += one.softAdmitted;
+            longestGapMs = Math.max(longestGapMs, one.longestGapMs);
+            one.gapsMs.forEach(gapsMs::recordValue);
             messages += one.messages;
             bytes += one.bytes;
             traffic.add(one.traffic);
@@ -152,47 +163,52 @@
             return violated;
         }
 
-        /** What nodes of each role sent and were sent, by kind, over all runs. */
+        /** Returns the message rates by role, direction and kind over all runs. */
         public synchronized List<Traffic.Rate> traffic() {
             return Traffic.rates(traffic);
         }
 
         public synchronized String text() {
-            return (violated == 0 ? "ok" : "violated: " + violated) + " (" + runs + " runs, acts " + acts
-                    + ", claims of unknown end " + unknown + ", epochs " + epochs + ", lives ended though the "
-                    + "process lived " + lives + ", voters replaced " + replaced + ", let in by the hard budget "
-                    + hard
-                    + ", by the soft one " + soft + ", times without an owner "
-                    + gaps.getTotalCount() + " (p50 " + gaps.getValueAtPercentile(50) + " ms, p99 "
-                    + gaps.getValueAtPercentile(99) + ", worst " + gap + "), messages " + messages + ", bytes "
+            return (violated == 0 ? "ok" : "violated: " + violated) + " (" + runs + " runs, acts " + actsRun
+                    + ", claims of unknown outcome " + unknownClaims + ", epochs " + epochs
+                    + ", lives ended though the "
+                    + "process was running " + falselyEndedLives + ", voters replaced " + replacedVoters
+                    + ", admitted by the hard budget "
+                    + hardAdmitted
+                    + ", by the soft one " + softAdmitted + ", times without an owner "
+                    + gapsMs.getTotalCount() + " (p50 " + gapsMs.getValueAtPercentile(50) + " ms, p99 "
+                    + gapsMs.getValueAtPercentile(99) + ", worst " + longestGapMs + "), messages " + messages
+                    + ", bytes "
                     + bytes + ")";
         }
     }
 
-    /** Work of the fleet: acts that must never be done twice, and acts that may be, by their key. */
+    /** Standing jobs: two that must run at most once, and two keyed ones that may run again. */
     private static final List<String> PIECES = List.of("once-a", "once-b", "keyed-a", "keyed-b");
 
     public static final long CALM_MS = 15_000;
-    /** By then a leader is there, and each piece has its owner. */
+    /** Time by which a leader is elected and each piece of work has an owner. */
     public static final long SETTLED_MS = 3_000;
-    /** From then on traffic is counted: all nodes have come, and have settled. */
-    private static final long STEADY = 5_000;
+    /** Time from which traffic is counted, when all nodes have joined and settled. */
+    private static final long STEADY_MS = 5_000;
+
+    private static final long SAMPLE_MS = 100;
+    private static final long BEAT_MS = 100;
+    private static final long LEASE_MS = 1_000;
+    /** Clock rates differ from real time by at most half of this fraction. */
+    private static final double CLOCK_DRIFT = 0.05;
 
-    private static final long SAMPLE = 100;
-    private static final long BEAT = 100;
-    private static final long LEASE = 1_000;
-    private static final double DRIFT = 0.05;
     private static final List<StandingJob> JOBS = PIECES.stream()
             .map(name -> new StandingJob(
                     name, name, "", 300, null, null, StandingJob.MissedPolicy.ALL, 300, name.startsWith("keyed")))
             .toList();
-    private static final int HISTORY = 60;
-    /** A budget of each mode; nodes are asked for far more, one of them at a time for most. */
+    private static final int MAX_HISTORY = 60;
+    /** A hard and a soft budget. Far more jobs are requested than they allow, most of them at one node at a time. */
     private static final List<Budget> BUDGETS =
             List.of(new Budget("hard", 0, -1, 60, 12, 20, 3, true), new Budget("soft", 1, -1, 60, 12, 20, 3, false));
 
-    private static final long ASKED = 20;
-    /** So many times a soft budget may be spent while parts of the fleet hear nothing. */
+    private static final long REQUEST_INTERVAL_MS = 20;
+    /** Factor by which a soft budget may be exceeded while parts of the cluster are cut off. */
     private static final double SOFT_FACTOR = 2;
 
     private final Plan plan;
@@ -202,38 +218,40 @@
     private final Map<String, SimulatedNode> nodes = new TreeMap<>();
     private final Map<String, Long> cutUntil = new HashMap<>();
     private final List<String> history = new ArrayList<>();
-    private final Map<String, Integer> runs = new HashMap<>();
-    private final Map<String, Long> first = new HashMap<>();
-    private final Set<String> leftOut = new HashSet<>();
-    private final Set<String> unknown = new HashSet<>();
-    private final Map<String, String> epochOf = new HashMap<>();
+    private final Map<String, Integer> runCounts = new HashMap<>();
+    private final Map<String, Long> firstClaimed = new HashMap<>();
+    private final Set<String> skippedRuns = new HashSet<>();
+    private final Set<String> unknownClaims = new HashSet<>();
+    private final Map<String, String> epochHolders = new HashMap<>();
     private final Map<String, Long> unownedSince = new HashMap<>();
     private long now;
     private long order;
     private double loss;
-    /** The voter that is lost for good, or is to go; one at a time. */
-    private SimulatedNode lost;
+    /** The voter that has lost its data or is being moved, and is to be replaced; one at a time. */
+    private SimulatedNode departing;
 
-    private String place;
+    private String replacement;
     private String violation;
     private int faults;
     private int steps;
     private final Map<String, String> owners = new HashMap<>();
-    private final double[] sum = new double[BUDGETS.size()];
+    private final double[] shareSum = new double[BUDGETS.size()];
     private long checkedAt = -1;
-    private final double[] level = new double[BUDGETS.size()];
-    private final long[] levelAt = new long[BUDGETS.size()];
-    private final int[] entered = new int[BUDGETS.size()];
-    private int asked;
-    private int lives;
-    private int replaced;
-    private long longestGap;
-    private final List<Long> gaps = new ArrayList<>();
+    /** Jobs admitted of each budget, less what its rate has permitted since. */
+    private final double[] bucketLevel = new double[BUDGETS.size()];
+
+    private final long[] bucketLevelAt = new long[BUDGETS.size()];
+    private final int[] admitted = new int[BUDGETS.size()];
+    private int requested;
+    private int falselyEndedLives;
+    private int replacedVoters;
+    private long longestGapMs;
+    private final List<Long> gapsMs = new ArrayList<>();
     private long messages;
     private long bytes;
     private long fingerprint = 1;
     private final Traffic traffic = new Traffic();
-    private long sampledAt = STEADY;
+    private long sampledAt = STEADY_MS;
 
     private record Event(long at, long order, SimulatedNode to, int incarnation, Runnable what) {}
 
@@ -246,7 +264,7 @@
         return new ClusterSimulation(plan).run();
     }
 
-    /** A node: its process, its clock and its disk. */
+    /** A node with its process, clock and storage. */
     private final class SimulatedNode implements Ground, Duty {
         final String name;
         final SimulatedShelf shelf = new SimulatedShelf();
@@ -258,14 +276,14 @@
         long life;
         Member member;
         StandingJobScheduler standing;
-        BudgetLimiter door;
+        BudgetLimiter limiter;
         List<Allowance> allowances = List.of();
-        /** What it may spend of each budget, as of the last look. */
+        /** Its share of each budget at the last check. */
         final double[] share = new double[BUDGETS.size()];
 
         SimulatedNode(String name) {
             this.name = name;
-            rate = plan.faults.contains(Fault.DRIFT) ? 1 + DRIFT * (random.nextDouble() - 0.5) : 1;
+            rate = plan.faults.contains(Fault.DRIFT) ? 1 + CLOCK_DRIFT * (random.nextDouble() - 0.5) : 1;
             offset = 1_000 + random.nextInt(1_000_000);
         }
 
@@ -273,13 +291,13 @@
             incarnation++;
             up = true;
             life = 0;
-            standing = new StandingJobScheduler(JOBS, this, () -> now, this::work, (job, number, epoch, what) -> {
+            standing = new StandingJobScheduler(JOBS, this, () -> now, this::runJob, (job, number, epoch, what) -> {
                 if (what.startsWith("claimed")) {
-                    first.putIfAbsent(job, number);
+                    firstClaimed.putIfAbsent(job, number);
                 } else if (what.startsWith("missed")) {
-                    leftOut.add(job + "#" + number);
+                    skippedRuns.add(job + "#" + number);
                 } else if (what.endsWith("UNKNOWN")) {
-                    unknown.add(job + "#" + number);
+                    unknownClaims.add(job + "#" + number);
                 }
             });
             List<String> voters = new ArrayList<>();
@@ -296,9 +314,9 @@
                                 "1",
                                 voters,
                                 PIECES,
-                                BEAT,
-                                LEASE,
-                                DRIFT),
+                                BEAT_MS,
+                                LEASE_MS,
+                                CLOCK_DRIFT),
                         this,
                         shelf,
                         random.nextLong(),
@@ -316,40 +334,40 @@
                                 plan.nodes,
                                 b.hard()))
                         .toList();
-                BudgetClient[] spender = new BudgetClient[1];
-                door = new BudgetLimiter(
-                        budgets, this::millis, (budget, perSecond) -> spender[0].updateDemand(budget, perSecond));
-                spender[0] = new BudgetClient(
+                BudgetClient[] client = new BudgetClient[1];
+                limiter = new BudgetLimiter(
+                        budgets, this::millis, (budget, perSecond) -> client[0].updateDemand(budget, perSecond));
+                client[0] = new BudgetClient(
                         budgets,
                         this,
                         member.spends(),
-                        BEAT,
-                        LEASE,
+                        BEAT_MS,
+                        LEASE_MS,
                         plan.plants.contains(Member.Plant.GIVES_BACK_LATE),
                         all -> {
                             allowances = all;
-                            door.updateAllowances(all);
+                            limiter.updateAllowances(all);
                         });
-                member.spender(spender[0]);
+                member.spender(client[0]);
                 member.start();
-                jobs();
+                requestJobs();
             } catch (BadMessage e) {
-                violation("a store that can't be read: " + e.getMessage());
+                reportViolation("storage can't be read: " + e.getMessage());
             }
         }
 
-        /** Clients ask; each node is the busiest for a while. */
-        private void jobs() {
+        /** Requests jobs of both budgets, most of them at one node, which changes over time. */
+        private void requestJobs() {
             boolean busiest = now / 7_000 % plan.nodes == Integer.parseInt(name.substring(1));
             for (int i = busiest ? 4 : random.nextInt(8) == 0 ? 1 : 0; i > 0; i--) {
                 for (int b = 0; b < BUDGETS.size(); b++) {
-                    asked++;
-                    if (door.tryAdmit(millis() * 1_000, b, -1) == 0) {
-                        entered(b, name);
+                    requested++;
+                    if (limiter.tryAdmit(millis() * 1_000, b, -1) == 0) {
+                        recordAdmission(b, name);
                     }
                 }
             }
-            after(ASKED, this::jobs);
+            after(REQUEST_INTERVAL_MS, this::requestJobs);
         }
 
         double share(int budget) {
@@ -357,7 +375,7 @@
         }
 
         private void count(Traffic.Direction direction, MessageKind kind, int length) {
-            if (now >= STEADY) {
+            if (now >= STEADY_MS) {
                 traffic.count(role(), direction, kind, length);
             }
         }
@@ -383,7 +401,7 @@
 
         @Override
         public void after(long millis, Runnable then) {
-            at(now + (long) Math.ceil(millis / rate), this, then);
+            scheduleAt(now + (long) Math.ceil(millis / rate), this, then);
         }
 
         @Override
@@ -394,16 +412,16 @@
             fingerprint = fingerprint * 31 + java.util.Arrays.hashCode(message);
             MessageKind kind = MessageKind.of(message);
             count(Traffic.Direction.SENT, kind, message.length);
-            if (target == null || cut(name, to) || random.nextDouble() < loss) {
+            if (target == null || isCut(name, to) || random.nextDouble() < loss) {
                 return;
             }
             int copies = random.nextDouble() < loss / 4 ? 2 : 1;
             for (int i = 0; i < copies; i++) {
                 long way = 1 + random.nextInt(5) + (random.nextDouble() < loss ? random.nextInt(1_500) : 0);
-                int to1 = target.incarnation;
-                // Danger: a datagram may reach the process that came after the one it was sent to.
-                at(now + way, target, -1, () -> {
-                    if (target.up && (target.incarnation == to1 || random.nextBoolean())) {
+                int sentToIncarnation = target.incarnation;
+                // A datagram may reach the successor of the process that it was sent to.
+                scheduleAt(now + way, target, -1, () -> {
+                    if (target.up && (target.incarnation == sentToIncarnation || random.nextBoolean())) {
                         target.count(Traffic.Direction.RECEIVED, kind, message.length);
                         target.member.heard(message);
                     }
@@ -411,28 +429,28 @@
             }
         }
 
-        // ---- the work: standing jobs, and a wrapper that looks at their coming and going ----
+        // ---- ownership: passed on to the standing jobs, with checks ----
 
         @Override
         public void owns(String piece, long epoch, long last, SortedSet<Long> open) {
             String me = name + "/" + incarnation;
-            String before = epochOf.putIfAbsent(piece + "@" + epoch, me);
-            tell(me + " owns " + piece + " under " + epoch + " from " + last + ", unknown " + open);
+            String before = epochHolders.putIfAbsent(piece + "@" + epoch, me);
+            record(me + " owns " + piece + " under " + epoch + " from " + last + ", unknown " + open);
             if (before != null && !before.equals(me)) {
-                violation("epoch " + epoch + " of " + piece + " went to " + before + " and to " + me);
+                reportViolation("epoch " + epoch + " of " + piece + " went to " + before + " and to " + me);
             }
             standing.owns(piece, epoch, last, open);
         }
 
-        /** A job is handed over after a while, and ends after another; one in twenty is refused at first. */
-        private void work(
+        /** Runs and completes a job after random delays; one in twenty is refused at its first attempt. */
+        private void runJob(
                 StandingJob job, long time, long epoch, int attempt, Consumer<StandingJobScheduler.JobResult> then) {
             if (attempt == 0 && random.nextInt(20) == 0) {
                 after(random.nextInt(40), () -> then.accept(StandingJobScheduler.JobResult.REFUSED));
                 return;
             }
             after(random.nextInt(40), () -> {
-                ran(job.name(), job.occurrenceAt(time), name + "/" + incarnation);
+                recordRun(job.name(), job.occurrenceAt(time), name + "/" + incarnation);
                 after(random.nextInt(40), () -> then.accept(StandingJobScheduler.JobResult.SERVED));
             });
         }
@@ -444,26 +462,26 @@
 
         @Override
         public void lost(String piece, long epoch) {
-            tell(name + "/" + incarnation + " lost " + piece + " under " + epoch);
+            record(name + "/" + incarnation + " lost " + piece + " under " + epoch);
             standing.lost(piece, epoch);
         }
     }
 
-    private void ran(String piece, long act, String who) {
-        int times = runs.merge(piece + "#" + act, 1, Integer::sum);
-        tell(who + " does " + piece + "#" + act);
+    private void recordRun(String piece, long act, String who) {
+        int times = runCounts.merge(piece + "#" + act, 1, Integer::sum);
+        record(who + " runs " + piece + "#" + act);
         if (times > 1 && piece.startsWith("once")) {
-            violation(piece + "#" + act + " was done twice, last by " + who);
+            reportViolation(piece + "#" + act + " ran twice, last at " + who);
         }
     }
 
     // ---- time ----
 
-    private void at(long time, SimulatedNode to, Runnable what) {
-        at(time, to, to.incarnation, what);
+    private void scheduleAt(long time, SimulatedNode to, Runnable what) {
+        scheduleAt(time, to, to.incarnation, what);
     }
 
-    private void at(long time, SimulatedNode to, int incarnation, Runnable what) {
+    private void scheduleAt(long time, SimulatedNode to, int incarnation, Runnable what) {
         events.add(new Event(Math.max(time, now), order++, to, incarnation, what));
     }
 
@@ -471,61 +489,63 @@
         for (int i = 0; i < plan.nodes; i++) {
             nodes.put("n" + i, new SimulatedNode("n" + i));
         }
-        nodes.values().forEach(node -> at(random.nextInt(200), node, -1, node::boot));
+        nodes.values().forEach(node -> scheduleAt(random.nextInt(200), node, -1, node::boot));
         long calmFrom = plan.seconds * 1_000L;
         if (plan.stepFaults.isEmpty() && !plan.faults.isEmpty()) {
-            events.add(new Event(4_000, order++, null, -1, this::trouble));
+            events.add(new Event(4_000, order++, null, -1, this::injectRandomFault));
         }
         SimulatedNode first = nodes.get("n0");
         switch (plan.scenario) {
             case LEAVE -> {
-                events.add(new Event(SETTLED_MS, order++, null, -1, () -> begin(Fault.LEAVE, first, 2 * LEASE)));
+                events.add(
+                        new Event(SETTLED_MS, order++, null, -1, () -> startFault(Fault.LEAVE, first, 2 * LEASE_MS)));
             }
-            case REPLACE -> events.add(new Event(SETTLED_MS, order++, null, -1, () -> begin(Fault.MOVE, first, 0)));
+            case REPLACE ->
+                events.add(new Event(SETTLED_MS, order++, null, -1, () -> startFault(Fault.MOVE, first, 0)));
             default -> {}
         }
-        events.add(new Event(calmFrom, order++, null, -1, this::calm));
+        events.add(new Event(calmFrom, order++, null, -1, this::repairAll));
         while (!events.isEmpty() && violation == null && now < calmFrom + plan.calmMs) {
             Event event = events.poll();
             now = event.at;
-            sample();
+            sampleRoles();
             SimulatedNode to = event.to;
             if (to == null) {
                 event.what.run();
             } else if (event.incarnation >= 0 && event.incarnation != to.incarnation) {
                 continue;
             } else if (now < to.stalledUntil) {
-                // Stalled: what would run now runs when it wakes up, in the same order.
+                // The node is stalled: its events run when it resumes, in the same order.
                 events.add(new Event(to.stalledUntil, event.order, to, event.incarnation, event.what));
                 continue;
-            } else if (!slips(event)) {
+            } else if (!applyStepFault(event)) {
                 try {
                     event.what.run();
                 } catch (RuntimeException e) {
-                    violation(to.name + " failed: " + e + " at " + e.getStackTrace()[0]);
+                    reportViolation(to.name + " failed: " + e + " at " + e.getStackTrace()[0]);
                 }
             }
             if (to != null) {
-                lives(to);
+                countFalselyEndedLife(to);
             }
             check(to);
         }
         if (violation == null) {
-            end();
+            checkFinalState();
         }
         return new Outcome(
                 violation,
                 history,
-                runs.size(),
-                unknown.size(),
-                epochOf.size(),
+                runCounts.size(),
+                unknownClaims.size(),
+                epochHolders.size(),
                 faults,
-                lives,
-                replaced,
-                entered[0],
-                entered[1],
-                longestGap,
-                gaps,
+                falselyEndedLives,
+                replacedVoters,
+                admitted[0],
+                admitted[1],
+                longestGapMs,
+                gapsMs,
                 messages,
                 bytes,
                 fingerprint,
@@ -533,24 +553,26 @@
                 traffic.figures());
     }
 
-    /** For how long nodes had their roles, which rates of traffic are counted by. */
-    private void sample() {
-        for (; now >= sampledAt + SAMPLE; sampledAt += SAMPLE) {
-            nodes.values().stream().filter(node -> node.up).forEach(node -> traffic.addRoleTime(node.role(), SAMPLE));
+    /** Records how long nodes had their roles, by which traffic rates are calculated. */
+    private void sampleRoles() {
+        for (; now >= sampledAt + SAMPLE_MS; sampledAt += SAMPLE_MS) {
+            nodes.values().stream()
+                    .filter(node -> node.up)
+                    .forEach(node -> traffic.addRoleTime(node.role(), SAMPLE_MS));
         }
     }
 
-    /** Does to this step what the plan says; whether it is not to be carried out now. */
-    private boolean slips(Event event) {
-        StepFault slip = now < SETTLED_MS ? null : plan.stepFaults.get(steps++);
-        if (slip == null) {
+    /** Applies the planned fault to this step; returns whether the step must not run now. */
+    private boolean applyStepFault(Event event) {
+        StepFault stepFault = now < SETTLED_MS ? null : plan.stepFaults.get(steps++);
+        if (stepFault == null) {
             return false;
         }
         SimulatedNode node = event.to;
         boolean message = event.incarnation < 0;
-        tell("slip: " + (message ? "a message to " : "what is due at ") + node.name + ": " + slip);
-        long late = now + LEASE + LEASE / 2;
-        switch (slip) {
+        record("step fault: " + (message ? "message to " : "timer of ") + node.name + ": " + stepFault);
+        long late = now + LEASE_MS + LEASE_MS / 2;
+        switch (stepFault) {
             case LOST -> {
                 return message;
             }
@@ -569,185 +591,192 @@
         return true;
     }
 
-    private void tell(String what) {
+    private void record(String what) {
         history.add(now + " " + what);
-        if (history.size() > HISTORY) {
+        if (history.size() > MAX_HISTORY) {
             history.remove(0);
         }
     }
 
-    private void violation(String what) {
+    private void reportViolation(String what) {
         if (violation == null) {
             violation = what;
-            tell("VIOLATED: " + what);
+            record("VIOLATED: " + what);
         }
     }
 
-    /** A life after the first of a process: the one before was ended, though the process lived. */
-    private void lives(SimulatedNode node) {
+    /** Counts a second life of the same process: the one before was ended although the process was running. */
+    private void countFalselyEndedLife(SimulatedNode node) {
         long now = node.up ? node.member.life() : 0;
         if (now > 0 && now != node.life) {
-            lives += node.life > 0 ? 1 : 0;
+            falselyEndedLives += node.life > 0 ? 1 : 0;
             node.life = now;
         }
     }
 
-    /** A job was let in: over any time no more than the rate, the burst, and a job for each node. */
-    private void entered(int b, String who) {
+    /** Checks that admitted jobs over any time stay within the rate, the burst and one job for each node. */
+    private void recordAdmission(int b, String who) {
         Budget budget = BUDGETS.get(b);
         double factor = budget.hard() ? 1 : SOFT_FACTOR;
-        level[b] = 1 + Math.max(0, level[b] - (now - levelAt[b]) / 1e3 * budget.perSecond() * factor * (1 + DRIFT / 2));
-        levelAt[b] = now;
-        entered[b]++;
-        if (level[b] > budget.burst() * factor + plan.nodes) {
-            violation(budget.name() + " let in " + level[b] + " jobs beyond its rate, last at " + who);
+        bucketLevel[b] = 1
+                + Math.max(
+                        0,
+                        bucketLevel[b]
+                                - (now - bucketLevelAt[b]) / 1e3 * budget.perSecond() * factor * (1 + CLOCK_DRIFT / 2));
+        bucketLevelAt[b] = now;
+        admitted[b]++;
+        if (bucketLevel[b] > budget.burst() * factor + plan.nodes) {
+            reportViolation(budget.name() + " admitted " + bucketLevel[b] + " jobs beyond its rate, last at " + who);
         }
     }
 
     /**
-     * Checks what must hold at each moment. Beliefs change with the clock, or by what their own node does: so
-     * all nodes are looked at once a millisecond and where several may have changed, else the one that acted.
+     * Checks the invariants that hold at all times. A node's ownership and shares change only with its clock or by
+     * its own events, so all nodes are checked once a millisecond and after events that may affect several nodes,
+     * and otherwise only the node that acted.
      */
     private void check(SimulatedNode acted) {
         if (acted == null || now != checkedAt) {
             checkedAt = now;
-            owners();
-            parts();
+            checkOwners();
+            checkShares();
         } else {
-            owners(acted);
-            parts(acted);
+            checkOwners(acted);
+            checkShares(acted);
         }
     }
 
-    /** At no time is the sum of what all nodes may spend, each by its own clock, over the whole. */
-    private void parts() {
+    /** Checks that the shares of all nodes, each by its own clock, do not exceed the whole budget. */
+    private void checkShares() {
         for (int b = 0; b < BUDGETS.size(); b++) {
-            sum[b] = 0;
+            shareSum[b] = 0;
             for (SimulatedNode node : nodes.values()) {
                 node.share[b] = node.share(b);
-                sum[b] += node.share[b];
+                shareSum[b] += node.share[b];
             }
         }
-        sums();
+        checkShareSums();
     }
 
-    private void parts(SimulatedNode acted) {
+    private void checkShares(SimulatedNode acted) {
         for (int b = 0; b < BUDGETS.size(); b++) {
             double share = acted.share(b);
-            sum[b] += share - acted.share[b];
+            shareSum[b] += share - acted.share[b];
             acted.share[b] = share;
         }
-        sums();
+        checkShareSums();
     }
 
-    private void sums() {
+    private void checkShareSums() {
         for (int b = 0; b < BUDGETS.size(); b++) {
-            if (sum[b] > (BUDGETS.get(b).hard() ? 1 : SOFT_FACTOR) + 1e-9) {
-                violation("nodes may spend " + sum[b] + " times the budget "
+            if (shareSum[b] > (BUDGETS.get(b).hard() ? 1 : SOFT_FACTOR) + 1e-9) {
+                reportViolation("the shares of all nodes add up to " + shareSum[b] + " times the budget "
                         + BUDGETS.get(b).name());
             }
         }
     }
 
-    /** At no time do two nodes both believe, each by its own clock, that a piece is theirs. */
-    private void owners() {
+    /** Checks that no two nodes, each by its own clock, own the same piece. */
+    private void checkOwners() {
         owners.clear();
         for (String piece : PIECES) {
             for (SimulatedNode node : nodes.values()) {
-                owner(piece, node);
+                checkOwner(piece, node);
             }
-            unowned(piece);
+            trackUnowned(piece);
         }
     }
 
-    private void owners(SimulatedNode acted) {
+    private void checkOwners(SimulatedNode acted) {
         for (String piece : PIECES) {
             owners.remove(piece, acted.name);
-            owner(piece, acted);
-            unowned(piece);
+            checkOwner(piece, acted);
+            trackUnowned(piece);
         }
     }
 
-    private void owner(String piece, SimulatedNode node) {
+    private void checkOwner(String piece, SimulatedNode node) {
         if (node.up && node.member.owns(piece)) {
             String other = owners.put(piece, node.name);
             if (other != null) {
-                violation(other + " and " + node.name + " both own " + piece);
+                reportViolation(other + " and " + node.name + " both own " + piece);
             }
         }
     }
 
-    private void unowned(String piece) {
+    private void trackUnowned(String piece) {
         if (!owners.containsKey(piece)) {
             unownedSince.putIfAbsent(piece, now);
         } else if (unownedSince.containsKey(piece)) {
             long gap = now - unownedSince.remove(piece);
-            longestGap = Math.max(longestGap, gap);
+            longestGapMs = Math.max(longestGapMs, gap);
             if (now > SETTLED_MS) {
-                gaps.add(gap);
+                gapsMs.add(gap);
             }
         }
     }
 
     private void describe() {
         nodes.values()
-                .forEach(node -> tell(node.name + " life " + node.member.life() + " "
+                .forEach(node -> record(node.name + " life " + node.member.life() + " "
                         + node.member.voting() + ", leader " + node.member.leader() + ", owns " + node.member.owned()
                         + ", dropped " + node.member.dropped() + ", " + node.member.report()));
     }
 
-    /** Once all is whole, each piece has an owner, and what may be done again was done. */
-    private void end() {
+    /** Checks that after the phase without faults each piece has an owner and all repeatable jobs have run. */
+    private void checkFinalState() {
         for (String piece : PIECES) {
             if (unownedSince.containsKey(piece)) {
                 describe();
-                violation("nobody owns " + piece + " since " + unownedSince.get(piece));
+                reportViolation("no node owns " + piece + " since " + unownedSince.get(piece));
             }
         }
         for (StandingJob job : JOBS) {
-            long last = job.occurrenceAt(now - 4 * LEASE);
-            for (long number = first.getOrDefault(job.name(), last); number < last && job.repeatable(); number++) {
-                if (!runs.containsKey(job.name() + "#" + number) && leftOut.isEmpty()) {
+            long last = job.occurrenceAt(now - 4 * LEASE_MS);
+            for (long number = firstClaimed.getOrDefault(job.name(), last);
+                    number < last && job.repeatable();
+                    number++) {
+                if (!runCounts.containsKey(job.name() + "#" + number) && skippedRuns.isEmpty()) {
                     describe();
-                    violation(job.name() + "#" + number + " is to be made up for, and was never done");
+                    reportViolation(job.name() + "#" + number + " was due and never ran");
                 }
             }
         }
     }
 
-    // ---- troubles ----
+    // ---- faults ----
 
-    private boolean cut(String from, String to) {
+    private boolean isCut(String from, String to) {
         return cutUntil.getOrDefault(from + ">" + to, 0L) > now;
     }
 
-    private SimulatedNode any() {
+    private SimulatedNode randomNode() {
         return nodes.get("n" + random.nextInt(plan.nodes));
     }
 
-    private void trouble() {
+    private void injectRandomFault() {
         List<Fault> kinds =
                 new ArrayList<>(EnumSet.copyOf(plan.faults.isEmpty() ? EnumSet.of(Fault.DRIFT) : plan.faults));
         Fault fault = kinds.get(random.nextInt(kinds.size()));
         long length = 200 + random.nextInt(random.nextInt(10) == 0 ? 10_000 : 3_000);
-        SimulatedNode node = any();
+        SimulatedNode node = randomNode();
         faults++;
         if (now + length < plan.seconds * 1_000L - 500) {
-            tell("trouble: " + fault + " at " + node.name + " for " + length + " ms");
-            begin(fault, node, length);
+            record("fault: " + fault + " at " + node.name + " for " + length + " ms");
+            startFault(fault, node, length);
         }
         events.add(new Event(now + 300 + random.nextInt(2_500), order++, null, -1, () -> {
             if (now < plan.seconds * 1_000L - 1_000) {
-                trouble();
+                injectRandomFault();
             }
         }));
     }
 
-    private void begin(Fault fault, SimulatedNode node, long length) {
+    private void startFault(Fault fault, SimulatedNode node, long length) {
         switch (fault) {
             case LOSS -> {
                 loss = random.nextDouble() * 0.3;
-                later(length, () -> loss = 0);
+                schedule(length, () -> loss = 0);
             }
             case CUT ->
                 nodes.keySet().forEach(other -> {
@@ -758,41 +787,41 @@
                 });
             case ONE_WAY -> nodes.keySet().forEach(other -> cut(other, node.name, length));
             case LINK -> {
-                SimulatedNode other = any();
+                SimulatedNode other = randomNode();
                 cut(node.name, other.name, length);
                 cut(other.name, node.name, length);
             }
             case FLAP -> {
                 for (long t = 0; t < length; t += 300) {
-                    later(t, () -> nodes.keySet().forEach(other -> cut(node.name, other, 150)));
+                    schedule(t, () -> nodes.keySet().forEach(other -> cut(node.name, other, 150)));
                 }
             }
             case STALL -> node.stalledUntil = Math.max(node.stalledUntil, now + length);
             case CRASH -> crash(node, length);
             case RESTART_ALL -> nodes.values().forEach(n -> crash(n, 50 + random.nextInt(500)));
-            case DISK -> node.shelf.fails = true;
+            case DISK -> node.shelf.failing = true;
             case FORGET -> {
-                // One voter at a time can be lost for good; a command brings another.
-                if (node.up && lost == null && seats().contains(node.name)) {
-                    lost = node;
+                // Only one voter at a time may lose its data; an operator command replaces it.
+                if (node.up && departing == null && votingNodes().contains(node.name)) {
+                    departing = node;
                     node.crash();
-                    node.shelf.forget();
-                    later(length, () -> {
+                    node.shelf.erase();
+                    schedule(length, () -> {
                         restart(node);
                         replace(node);
                     });
                 }
             }
             case MOVE -> {
-                if (node.up && lost == null && seats().contains(node.name)) {
-                    lost = node;
+                if (node.up && departing == null && votingNodes().contains(node.name)) {
+                    departing = node;
                     replace(node);
                 }
             }
             case LEAVE -> {
                 if (node.up) {
                     node.member.leaves(true);
-                    later(length, () -> {
+                    schedule(length, () -> {
                         if (node.up) {
                             node.member.leaves(false);
                         }
@@ -802,21 +831,21 @@
             default -> {}
         }
         if (fault == Fault.DISK) {
-            later(length, () -> {
-                node.shelf.fails = false;
+            schedule(length, () -> {
+                node.shelf.failing = false;
                 if (node.up && node.member.voting() != null) {
-                    // Whoever had a failing disk is started again once there is room.
+                    // A voter whose storage failed is restarted once writes succeed again.
                     crash(node, 50);
                 }
             });
         }
     }
 
-    /** The nodes that vote, as whoever has applied most knows. */
-    private Set<String> seats() {
-        Set<String> seats = new TreeSet<>();
-        voters().keySet().forEach(v -> seats.add(Voter.node(v)));
-        return seats;
+    /** Returns the voting nodes, according to the leader that has applied the most entries. */
+    private Set<String> votingNodes() {
+        Set<String> voting = new TreeSet<>();
+        voters().keySet().forEach(v -> voting.add(Voter.node(v)));
+        return voting;
     }
 
     private Map<String, Boolean> voters() {
@@ -827,32 +856,35 @@
                 .orElse(Map.of());
     }
 
-    /** An operator, who asks whichever node is up, and again until it is done. */
-    private void replace(SimulatedNode gone) {
-        Set<String> seats = seats();
-        List<String> spare = new ArrayList<>(nodes.keySet());
-        spare.removeIf(name -> seats.contains(name) && !name.equals(gone.name)
-                || name.equals(gone.name) && !gone.member.voting().contains("empty"));
-        SimulatedNode asked = any();
-        if (lost == gone && place == null && asked.up && !spare.isEmpty()) {
-            String coming = spare.get(random.nextInt(spare.size()));
-            asked.member.replace(gone.name, coming, LEASE, answer -> {
-                if (answer != null && answer.done() && lost == gone) {
-                    place = coming + "#" + answer.number();
-                    tell("operator: " + place + " is to vote in the place of " + gone.name);
+    /** Acts as an operator who asks any running node to replace a voter, and repeats it until it is done. */
+    private void replace(SimulatedNode voter) {
+        Set<String> voting = votingNodes();
+        List<String> candidates = new ArrayList<>(nodes.keySet());
+        candidates.removeIf(name -> voting.contains(name) && !name.equals(voter.name)
+                || name.equals(voter.name) && !voter.member.voting().contains("empty"));
+        SimulatedNode asked = randomNode();
+        if (departing == voter && replacement == null && asked.up && !candidates.isEmpty()) {
+            String joining = candidates.get(random.nextInt(candidates.size()));
+            asked.member.replace(voter.name, joining, LEASE_MS, answer -> {
+                if (answer != null && answer.done() && departing == voter) {
+                    replacement = joining + "#" + answer.number();
+                    record("operator: " + replacement + " is to replace the voter on " + voter.name);
                 }
             });
         }
         Map<String, Boolean> voters = voters();
-        if (lost == gone && place != null && voters.getOrDefault(place, false) && voters.size() == plan.voters) {
-            // Danger: lost while the other has its place in part only, a second one could be one too many.
-            replaced++;
-            lost = null;
-            place = null;
-        }
-        later(2 * LEASE, () -> {
-            if (lost == gone && now < plan.seconds * 1_000L + plan.calmMs / 2) {
-                replace(gone);
+        if (departing == voter
+                && replacement != null
+                && voters.getOrDefault(replacement, false)
+                && voters.size() == plan.voters) {
+            // A further voter may be lost only after the replacement is complete, or a majority could be lost.
+            replacedVoters++;
+            departing = null;
+            replacement = null;
+        }
+        schedule(2 * LEASE_MS, () -> {
+            if (departing == voter && now < plan.seconds * 1_000L + plan.calmMs / 2) {
+                replace(voter);
             }
         });
     }
@@ -866,7 +898,7 @@
     private void crash(SimulatedNode node, long length) {
         if (node.up) {
             node.crash();
-            later(length, () -> restart(node));
+            schedule(length, () -> restart(node));
         }
     }
 
@@ -877,11 +909,11 @@
         }
     }
 
-    private void later(long millis, Runnable what) {
+    private void schedule(long millis, Runnable what) {
         events.add(new Event(now + millis, order++, null, -1, what));
     }
 
-    private void calm() {
+    private void repairAll() {
         loss = 0;
         cutUntil.clear();
         nodes.values().forEach(node -> {
--- a/src/main/java/gorserill/cluster/lab/FaultExplorer.java
+++ b/src/main/java/gorserill/cluster/lab/FaultExplorer.java
@@ -16,9 +16,10 @@
 import java.util.stream.Stream;
 
 /**
- * A checker of small scope: from one run of three nodes in which nothing goes wrong, every run that differs
- * from it by one slip or two within so many steps. Each is played to its end with all of the lab's rules, so
- * nothing is left out as like another; runs that came to the same are counted by what was said in them.
+ * A bounded exhaustive checker: starting from a run of three nodes without faults, runs every variant that has
+ * one or two step faults within a given range of steps. Each variant runs to its end with all invariants
+ * checked, and none is skipped as equivalent to another; distinct runs are counted by the messages sent in
+ * them.
  */
 public final class FaultExplorer {
     private static final int VOTERS = 3;
@@ -28,39 +29,40 @@
     private FaultExplorer() {}
 
     /**
-     * What came of it.
+     * The result of an exploration.
      *
-     * @param violatingFaults the first run that broke a rule, by its slips; null where none did
-     * @param distinct runs that differ in what was sent
+     * @param distinct number of runs that differ in the messages sent
+     * @param violatingFaults step faults of a run that violated an invariant, by step; null if there is none
+     * @param outcome of that run; null if there is none
      */
     public record Result(
             long runs, long distinct, long actsRun, Map<Integer, StepFault> violatingFaults, Outcome outcome) {}
 
     /**
-     * Plays them.
+     * Runs all variants.
      *
-     * @param scenario what goes on meanwhile
-     * @param from the first step that may slip, counted from when all has settled
-     * @param steps how many may
-     * @param depth slips in a run, 1 or 2
+     * @param scenario the planned operation that takes place during the runs
+     * @param from the first step with a fault, counted from {@link ClusterSimulation#SETTLED_MS}
+     * @param steps the number of steps from there on that may have a fault
+     * @param depth step faults in a run, 1 or 2
      */
     public static Result run(long seed, Scenario scenario, int from, int steps, int depth, Set<Member.Plant> plants) {
-        List<Map<Integer, StepFault>> all = new ArrayList<>();
-        for (int first = from; first < from + steps; first++) {
-            for (StepFault one : StepFault.values()) {
-                all.add(Map.of(first, one));
-                for (int second = first + 1; depth > 1 && second < from + steps; second++) {
-                    for (StepFault two : StepFault.values()) {
-                        all.add(new TreeMap<>(Map.of(first, one, second, two)));
+        List<Map<Integer, StepFault>> variants = new ArrayList<>();
+        for (int firstStep = from; firstStep < from + steps; firstStep++) {
+            for (StepFault firstFault : StepFault.values()) {
+                variants.add(Map.of(firstStep, firstFault));
+                for (int secondStep = firstStep + 1; depth > 1 && secondStep < from + steps; secondStep++) {
+                    for (StepFault secondFault : StepFault.values()) {
+                        variants.add(new TreeMap<>(Map.of(firstStep, firstFault, secondStep, secondFault)));
                     }
                 }
             }
         }
         Set<Long> distinct = ConcurrentHashMap.newKeySet();
-        AtomicReference<Result> bad = new AtomicReference<>();
-        long[] sums = all.parallelStream()
-                .flatMap(slips -> {
-                    if (bad.get() != null) {
+        AtomicReference<Result> violating = new AtomicReference<>();
+        long[] sums = variants.parallelStream()
+                .flatMap(stepFaults -> {
+                    if (violating.get() != null) {
                         return Stream.empty();
                     }
                     Outcome outcome = ClusterSimulation.run(new Plan(
@@ -72,20 +74,20 @@
                             plants,
                             CALM_MS,
                             scenario,
-                            slips));
+                            stepFaults));
                     distinct.add(outcome.fingerprint());
                     if (outcome.violation() != null) {
-                        bad.compareAndSet(null, new Result(0, 0, 0, slips, outcome));
+                        violating.compareAndSet(null, new Result(0, 0, 0, stepFaults, outcome));
                     }
                     return Stream.of(new long[] {1, outcome.actsRun()});
                 })
                 .reduce(new long[2], (a, b) -> new long[] {a[0] + b[0], a[1] + b[1]});
-        Result first = bad.get();
+        Result violation = violating.get();
         return new Result(
                 sums[0],
                 distinct.size(),
                 sums[1],
-                first == null ? null : first.violatingFaults,
-                first == null ? null : first.outcome);
+                violation == null ? null : violation.violatingFaults,
+                violation == null ? null : violation.outcome);
     }
 }
--- a/src/main/java/gorserill/cluster/lab/MessageKind.java
+++ b/src/main/java/gorserill/cluster/lab/MessageKind.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** What a message between members is for, as the lab's traffic figures split it. */
+/** The purpose of a message between members, by which the traffic figures are broken down. */
 public enum MessageKind {
     RENEWAL,
     VIEW,
@@ -15,27 +15,27 @@
     LOG_APPENDED,
     LOG_OTHER,
     RELAYED,
-    /** The answer of a voter that does not lead, who does; and whatever is none of the others. */
+    /** A non-leading voter's reply that names the leader, and any message of no other kind. */
     OTHER;
 
-    /** Bytes in which the names that tell kinds apart stand; members write those first. */
-    private static final int HEAD = 256;
+    /** Length of the prefix that identifies the kind; members write the identifying fields first. */
+    private static final int PREFIX_BYTES = 256;
 
-    /** The kind of a message as members write it; {@link #OTHER} for any that is none of theirs. */
+    /** Returns the kind of an encoded message; {@link #OTHER} if it is not recognized. */
     public static MessageKind of(byte[] message) {
-        String head = new String(message, 0, Math.min(HEAD, message.length), StandardCharsets.ISO_8859_1);
-        return switch (after(head, "{\"kind\":\"")) {
+        String prefix = new String(message, 0, Math.min(PREFIX_BYTES, message.length), StandardCharsets.ISO_8859_1);
+        return switch (lettersAfter(prefix, "{\"kind\":\"")) {
             case "renew" -> RENEWAL;
             case "view" -> VIEW;
             case "told" -> ANSWER;
             case "by" -> RELAYED;
-            case "ask" -> request(after(head, "{\\\"do\\\":\\\""));
-            case "raft" -> log(after(head, "\"is\":\""));
+            case "ask" -> requestKind(lettersAfter(prefix, "{\\\"do\\\":\\\""));
+            case "raft" -> logKind(lettersAfter(prefix, "\"is\":\""));
             default -> OTHER;
         };
     }
 
-    private static MessageKind request(String entry) {
+    private static MessageKind requestKind(String entry) {
         return switch (entry) {
             case "say" -> BUDGET_REQUEST;
             case "claim" -> CLAIM;
@@ -44,22 +44,22 @@
         };
     }
 
-    private static MessageKind log(String what) {
-        return switch (what) {
+    private static MessageKind logKind(String operation) {
+        return switch (operation) {
             case "append" -> LOG_APPEND;
             case "appended" -> LOG_APPENDED;
             default -> LOG_OTHER;
         };
     }
 
-    /** The letters after a mark; empty where the mark is not there. */
-    private static String after(String head, String mark) {
-        int at = head.indexOf(mark);
-        int from = at + mark.length();
+    /** Returns the letters and underscores that follow a marker; empty if the marker does not occur. */
+    private static String lettersAfter(String prefix, String marker) {
+        int at = prefix.indexOf(marker);
+        int from = at + marker.length();
         int to = from;
-        while (at >= 0 && to < head.length() && (Character.isLetter(head.charAt(to)) || head.charAt(to) == '_')) {
+        while (at >= 0 && to < prefix.length() && (Character.isLetter(prefix.charAt(to)) || prefix.charAt(to) == '_')) {
             to++;
         }
-        return at < 0 ? "" : head.substring(from, to);
+        return at < 0 ? "" : prefix.substring(from, to);
     }
 }
--- a/src/main/java/gorserill/cluster/lab/SimulatedShelf.java
+++ b/src/main/java/gorserill/cluster/lab/SimulatedShelf.java
@@ -5,42 +5,42 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** A shelf that loses at a crash what was not flushed, and can be made to fail or to forget. */
+/** A shelf in memory that loses unflushed data on a crash; its flushes can be made to fail, and its data erased. */
 final class SimulatedShelf implements Shelf {
-    private SortedMap<String, String> kept = new TreeMap<>();
-    private SortedMap<String, String> now = new TreeMap<>();
-    boolean fails;
+    private SortedMap<String, String> flushed = new TreeMap<>();
+    private SortedMap<String, String> current = new TreeMap<>();
+    boolean failing;
 
     @Override
     public void put(String key, String text) {
-        now.put(key, text);
+        current.put(key, text);
     }
 
     @Override
     public void remove(String key) {
-        now.remove(key);
+        current.remove(key);
     }
 
     @Override
     public SortedMap<String, String> all() {
-        return new TreeMap<>(now);
+        return new TreeMap<>(current);
     }
 
     @Override
     public void flush() throws IOException {
-        if (fails) {
+        if (failing) {
             throw new IOException("no space left");
         }
-        kept = new TreeMap<>(now);
+        flushed = new TreeMap<>(current);
     }
 
     void crash() {
-        now = new TreeMap<>(kept);
-        fails = false;
+        current = new TreeMap<>(flushed);
+        failing = false;
     }
 
-    void forget() {
-        kept.clear();
-        now.clear();
+    void erase() {
+        flushed.clear();
+        current.clear();
     }
 }
--- a/src/main/java/gorserill/cluster/lab/Traffic.java
+++ b/src/main/java/gorserill/cluster/lab/Traffic.java
@@ -8,28 +8,28 @@
 import java.util.Map;
 
 /**
- * What nodes of each role send and are sent, by kind of message, over the steady part of a run. Rates are for
- * one node of that role and one second.
+ * Counts the messages that nodes of each role send and receive, by kind, over the steady part of a run. Rates
+ * are per node of a role and second.
  */
 public final class Traffic {
-    /** What a node is at the moment of a message. */
+    /** A node's role at the time of a message. */
     public enum Role {
         PLAIN,
         VOTER,
         LEADER
     }
 
-    /** Which way a message goes, as seen from the node. */
+    /** The direction of a message, as seen from the node. */
     public enum Direction {
         SENT,
         RECEIVED
     }
 
-    /** One rate, of one node of a role. */
+    /** The rate of one kind of message at a node of a role, over one run. */
     public record Figure(
             Role role, Direction direction, MessageKind kind, double messagesPerSecond, double bytesPerSecond) {}
 
-    /** One rate over several runs: the mean, and of bytes the least and the most of any run. */
+    /** The mean rate over several runs, with the lowest and highest bytes a second of any run. */
     public record Rate(
             Role role,
             Direction direction,
@@ -39,7 +39,7 @@
             double leastBytes,
             double mostBytes) {}
 
-    private static final double MILLIS = 1_000;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
     private static final int KINDS = MessageKind.values().length;
 
@@ -47,32 +47,33 @@
     private final long[] bytes = new long[messages.length];
     private final Map<Role, Long> nodeMillis = new EnumMap<>(Role.class);
 
-    /** A message was sent by, or came to, a node of that role. */
+    /** Counts a message that a node of the role sent or received. */
     public void count(Role role, Direction direction, MessageKind kind, int length) {
-        int at = at(role, direction, kind);
-        messages[at]++;
-        bytes[at] += length;
+        int index = index(role, direction, kind);
+        messages[index]++;
+        bytes[index] += length;
     }
 
-    private static int at(Role role, Direction direction, MessageKind kind) {
+    private static int index(Role role, Direction direction, MessageKind kind) {
         return (role.ordinal() * Direction.values().length + direction.ordinal()) * KINDS + kind.ordinal();
     }
 
-    /** A node had a role for so long. */
+    /** Adds the time for which a node had a role. */
     public void addRoleTime(Role role, long millis) {
         nodeMillis.merge(role, millis, Long::sum);
     }
 
-    /** The figures, by role, direction and kind; none of a kind that did not come. */
+    /** Returns the rates by role, direction and kind, without those of kinds that did not occur. */
     public List<Figure> figures() {
         List<Figure> figures = new ArrayList<>();
         for (Role role : Role.values()) {
-            double seconds = nodeMillis.getOrDefault(role, 0L) / MILLIS;
+            double seconds = nodeMillis.getOrDefault(role, 0L) / MILLIS_PER_SECOND;
             for (Direction direction : Direction.values()) {
                 for (MessageKind kind : MessageKind.values()) {
-                    int at = at(role, direction, kind);
-                    if (messages[at] > 0 && seconds > 0) {
-                        figures.add(new Figure(role, direction, kind, messages[at] / seconds, bytes[at] / seconds));
+                    int index = index(role, direction, kind);
+                    if (messages[index] > 0 && seconds > 0) {
+                        figures.add(
+                                new Figure(role, direction, kind, messages[index] / seconds, bytes[index] / seconds));
                     }
                 }
             }
@@ -80,32 +81,33 @@
         return figures;
     }
 
-    /** The rates of several runs; {@code kind} is null in the sum over all kinds, which comes first. */
+    /** Returns the rates over several runs; the sum over all kinds comes first, with a null {@code kind}. */
     public static List<Rate> rates(List<List<Figure>> runs) {
         List<Rate> rates = new ArrayList<>();
         for (Role role : Role.values()) {
             for (Direction direction : Direction.values()) {
-                rate(runs, role, direction, null, rates);
+                addRate(runs, role, direction, null, rates);
                 for (MessageKind kind : MessageKind.values()) {
-                    rate(runs, role, direction, kind, rates);
+                    addRate(runs, role, direction, kind, rates);
                 }
             }
         }
         return rates;
     }
 
-    private static void rate(
+    private static void addRate(
             List<List<Figure>> runs, Role role, Direction direction, MessageKind kind, List<Rate> rates) {
         DoubleSummaryStatistics messages = new DoubleSummaryStatistics();
         DoubleSummaryStatistics bytes = new DoubleSummaryStatistics();
         for (List<Figure> run : runs) {
-            List<Figure> its = run.stream()
+            List<Figure> matching = run.stream()
                     .filter(figure -> figure.role == role
                             && figure.direction == direction
                             && (kind == null || figure.kind == kind))
                     .toList();
-            messages.accept(its.stream().mapToDouble(Figure::messagesPerSecond).sum());
-            bytes.accept(its.stream().mapToDouble(Figure::bytesPerSecond).sum());
+            messages.accept(
+                    matching.stream().mapToDouble(Figure::messagesPerSecond).sum());
+            bytes.accept(matching.stream().mapToDouble(Figure::bytesPerSecond).sum());
         }
         if (bytes.getMax() > 0) {
             rates.add(new Rate(
@@ -113,7 +115,7 @@
         }
     }
 
-    /** The rates for a reader, a line for each role and direction. */
+    /** Formats the rates as text, with a line for each role and direction. */
     public static String text(List<Rate> rates) {
         StringBuilder text = new StringBuilder();
         for (Rate rate : rates) {
@@ -122,8 +124,8 @@
                         .append(String.format(
                                 Locale.ROOT,
                                 "a %s %s %.1f messages/s, %.0f bytes/s (%.0f to %.0f):",
-                                lower(rate.role),
-                                lower(rate.direction),
+                                lowerCase(rate.role),
+                                lowerCase(rate.direction),
                                 rate.messagesPerSecond,
                                 rate.bytesPerSecond,
                                 rate.leastBytes,
@@ -132,7 +134,7 @@
                 text.append(String.format(
                         Locale.ROOT,
                         " %s %.1f/s %.0f B/s;",
-                        lower(rate.kind),
+                        lowerCase(rate.kind),
                         rate.messagesPerSecond,
                         rate.bytesPerSecond));
             }
@@ -140,7 +142,7 @@
         return text.toString();
     }
 
-    private static String lower(Enum<?> name) {
-        return name.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+    private static String lowerCase(Enum<?> constant) {
+        return constant.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 }
--- a/src/main/java/gorserill/cluster/lab/package-info.java
+++ b/src/main/java/gorserill/cluster/lab/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The cluster in virtual time: the program's own members on clocks, a network and disks that are made to
- * fail.
+ * Simulation of the cluster in virtual time: the program's own members run on simulated clocks, network and
+ * storage, into which faults are injected.
  */
 package gorserill.cluster.lab;
