--- a/src/main/java/gorserill/cluster/ClusterEnvironment.java
+++ b/src/main/java/gorserill/cluster/ClusterEnvironment.java
@@ -1,16 +1,16 @@
 package gorserill.cluster;
 
 /**
- * What a member of the cluster stands on: a clock of its own, one thread, and a way to others that may lose,
- * delay, double and reorder what is sent. All calls are made on that thread, and all callbacks come there.
+ * The environment of a cluster member: its clock, its single thread, and a network that may lose, delay,
+ * duplicate and reorder messages. All calls and callbacks run on that thread.
  */
 public interface ClusterEnvironment {
-    /** Milliseconds of a clock that only goes forward. Two members' clocks start anywhere and may drift. */
+    /** Milliseconds of a monotonic clock. The clocks of two members have different origins and may drift. */
     long millis();
 
-    /** Runs it on the member's thread so much later, or later still; in the order of times. */
+    /** Runs a task on the thread of the member after at least this delay, in the order of the due times. */
     void after(long millis, Runnable then);
 
-    /** Sends a message to the member of that name; whether it arrives is not known. */
+    /** Sends a message to the named member, without guarantee of delivery. */
     void send(String to, byte[] message);
 }
--- a/src/main/java/gorserill/cluster/MalformedMessageException.java
+++ b/src/main/java/gorserill/cluster/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package gorserill.cluster;
 
-/** Something read from the wire or a file that can't be worked with; the text names the place. */
+/** Received or stored data that can't be processed; the message names the offending field. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gorserill/cluster/consensus/Bootstrap.java
+++ b/src/main/java/gorserill/cluster/consensus/Bootstrap.java
@@ -11,16 +11,19 @@
 import java.util.function.BiConsumer;
 
 /**
- * Whether a voter may vote. One with an empty shelf is either new, as all voters of a new cluster are, or has
- * lost what it remembered; only the others can tell. So it is ready once it has heard of all of them that
- * none has voted yet, says so only after its shelf has it, and votes once all are ready. Danger: a voter that
- * came back empty under its old name would vote a second time in a term, and two leaders would own the same
- * work.
+ * Decides whether a voter may vote. A voter with empty storage is either new, as all voters of a new cluster
+ * are, or has lost reportedStage state, which only the other voters can tell. It becomes READY once all of them have
+ * reported that they have not voted yet, reports this only after it is on disk, and votes once all are ready.
+ * A voter that returned with empty storage under reportedStage old name could vote twice in a term, and two leaders
+ * would assign the same work.
  */
 final class Bootstrap {
     static final String KEY = "founding";
 
-    /** BLANK: the shelf is empty. READY: it has not voted and knows that nobody had. FOUNDED: it may vote. */
+    /**
+     * BLANK: the storage is empty. READY: this voter has not voted and knows that no other had. FOUNDED: it
+     * may vote.
+     */
     enum Stage {
         BLANK,
         READY,
@@ -30,74 +33,74 @@
     private final String name;
     private final Collection<String> voters;
     private final long beat;
-    private final ClusterEnvironment ground;
-    private final StableStorage shelf;
+    private final ClusterEnvironment environment;
+    private final StableStorage storage;
     private final BiConsumer<String, JsonNode> send;
     private final Runnable founded;
     private final java.util.function.Consumer<IOException> failed;
-    private final Map<String, Stage> heard = new LinkedHashMap<>();
+    private final Map<String, Stage> reportedStages = new LinkedHashMap<>();
     private Stage stage;
-    private boolean forgot;
+    private boolean stateLost;
 
     /**
-     * @param founded is told once this voter may vote
-     * @param failed is told if the shelf fails
+     * @param founded is called once this voter may vote
+     * @param failed is called if the storage fails
      */
     Bootstrap(
             String name,
             Collection<String> voters,
             long beat,
-            ClusterEnvironment ground,
-            StableStorage shelf,
+            ClusterEnvironment environment,
+            StableStorage storage,
             BiConsumer<String, JsonNode> send,
             Runnable founded,
             java.util.function.Consumer<IOException> failed) {
         this.name = name;
         this.voters = voters;
         this.beat = beat;
-        this.ground = ground;
-        this.shelf = shelf;
+        this.environment = environment;
+        this.storage = storage;
         this.send = send;
         this.founded = founded;
         this.failed = failed;
-        String kept = shelf.all().get(KEY);
+        String kept = storage.all().get(KEY);
         stage = kept == null ? Stage.BLANK : Stage.valueOf(kept);
     }
 
-    /** Whether another voter says that the cluster was founded, though this one remembers nothing of it. */
+    /** Whether another voter reports that the cluster was founded although this one has no stored state. */
     boolean stateLost() {
-        return forgot;
+        return stateLost;
     }
 
     boolean isComplete() {
         return stage == Stage.FOUNDED;
     }
 
-    /** It was given a place, or lost it: it knows that the cluster was founded. */
+    /** Records that the cluster was founded, as this voter received or lost an assignment. */
     void markComplete() {
         stage = Stage.FOUNDED;
-        forgot = false;
+        stateLost = false;
     }
 
     void start() {
         if (isComplete()) {
             founded.run();
         } else if (voters.contains(name)) {
-            ask();
+            queryVoters();
         }
     }
 
-    private void ask() {
-        if (isComplete() || forgot) {
+    private void queryVoters() {
+        if (isComplete() || stateLost) {
             return;
         }
-        tryOn();
+        advance();
         voters.forEach(voter -> {
             if (!voter.equals(name)) {
                 send.accept(voter, message(true));
             }
         });
-        ground.after(beat, this::ask);
+        environment.after(beat, this::queryVoters);
     }
 
     private ObjectNode message(boolean asks) {
@@ -108,41 +111,41 @@
         if (!voters.contains(from) || !voters.contains(name) || from.equals(name)) {
             return;
         }
-        Stage its =
+        Stage reportedStage =
                 switch (message.path("stage").asText()) {
                     case "READY" -> Stage.READY;
                     case "FOUNDED" -> Stage.FOUNDED;
                     default -> Stage.BLANK;
                 };
         if (!isComplete()) {
-            heard.put(from, its);
-            tryOn();
+            reportedStages.put(from, reportedStage);
+            advance();
         }
         if (message.path("asks").asBoolean()) {
             send.accept(from, message(false));
         }
     }
 
-    private void tryOn() {
-        boolean all = heard.size() == voters.size() - 1;
-        if (stage == Stage.BLANK && heard.containsValue(Stage.FOUNDED)) {
-            forgot = true;
+    private void advance() {
+        boolean all = reportedStages.size() == voters.size() - 1;
+        if (stage == Stage.BLANK && reportedStages.containsValue(Stage.FOUNDED)) {
+            stateLost = true;
         } else if (stage == Stage.BLANK && all) {
-            move(Stage.READY);
+            persistStage(Stage.READY);
         }
-        if (stage == Stage.READY && all && !heard.containsValue(Stage.BLANK)) {
-            move(Stage.FOUNDED);
+        if (stage == Stage.READY && all && !reportedStages.containsValue(Stage.BLANK)) {
+            persistStage(Stage.FOUNDED);
             if (isComplete()) {
                 founded.run();
             }
         }
     }
 
-    /** Danger: said before it is on the disk, a crash would make a liar of this voter. */
-    private void move(Stage to) {
-        shelf.put(KEY, to.name());
+    /** Persists the stage before it is reported; otherwise a crash would make the report false. */
+    private void persistStage(Stage to) {
+        storage.put(KEY, to.name());
         try {
-            shelf.flush();
+            storage.flush();
             stage = to;
         } catch (IOException e) {
             failed.accept(e);
--- a/src/main/java/gorserill/cluster/consensus/DiskStorage.java
+++ b/src/main/java/gorserill/cluster/consensus/DiskStorage.java
@@ -10,30 +10,32 @@
 import org.h2.mvstore.MVStore;
 import org.h2.mvstore.MVStoreException;
 
-/** A shelf in one file, by H2's MVStore: chunks with checksums, synced to the disk at each flush. */
+/**
+ * Stable storage in a single file, by the MVStore of H2: chunks with checksums, synced to disk at each flush.
+ */
 public final class DiskStorage implements StableStorage, Closeable {
-    /** Megabytes; a voter keeps a short log, and the node has a small heap. */
-    private static final int CACHE = 1;
-    /** Milliseconds in which a file that is too long is made shorter. */
-    private static final int COMPACTING = 200;
+    /** Cache size in megabytes; the log of a voter is short, and the heap of a node is small. */
+    private static final int CACHE_MB = 1;
+    /** Time limit for compacting the file, in milliseconds. */
+    private static final int COMPACT_TIME_MS = 200;
 
     private final Path file;
-    private final long most;
+    private final long maxBytes;
     private final MVStore store;
     private final MVMap<String, String> texts;
 
     /**
-     * @param most bytes that the file may take. Danger: unbounded, it would take the disk from all else
-     * @throws IOException with the file's name, where it can't be read or is in use
+     * @param maxBytes maximum size of the file; without a limit it could fill the disk
+     * @throws IOException naming the file, if it can't be read or is in use
      */
-    public DiskStorage(Path file, long most) throws IOException {
+    public DiskStorage(Path file, long maxBytes) throws IOException {
         this.file = file;
-        this.most = most;
+        this.maxBytes = maxBytes;
         try {
             store = new MVStore.Builder()
                     .fileName(file.toString())
                     .autoCommitDisabled()
-                    .cacheSize(CACHE)
+                    .cacheSize(CACHE_MB)
                     .open();
             texts = store.openMap("voter");
         } catch (MVStoreException e) {
@@ -59,9 +61,9 @@
     @Override
     public void flush() throws IOException {
         try {
-            if (Files.size(file) > most) {
-                store.compactFile(COMPACTING);
-                if (Files.size(file) > most) {
+            if (Files.size(file) > maxBytes) {
+                store.compactFile(COMPACT_TIME_MS);
+                if (Files.size(file) > maxBytes) {
                     throw new IOException(file + " is over store_kb: " + Files.size(file) + " bytes");
                 }
             }
--- a/src/main/java/gorserill/cluster/consensus/RaftCodec.java
+++ b/src/main/java/gorserill/cluster/consensus/RaftCodec.java
@@ -31,9 +31,8 @@
 import java.util.List;
 
 /**
- * Raft's messages and log entries as JSON. An operation is a text, or a change of the group's members.
- * Danger: what comes from outside is checked field by field; a message that lacks one must not reach Raft
- * half-made.
+ * Encodes Raft messages and log entries as JSON. An operation is a text or a membership change. Received
+ * messages are checked field by field, so that no incomplete message reaches the Raft node.
  */
 final class RaftCodec {
     private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
@@ -211,7 +210,7 @@
         };
     }
 
-    // ---- what the log and snapshots are made of ----
+    // ---- log entries and snapshots ----
 
     ObjectNode entry(BaseLogEntry entry) {
         ObjectNode to = JSON.objectNode().put("index", entry.getIndex()).put("term", entry.getTerm());
--- a/src/main/java/gorserill/cluster/consensus/StableStorage.java
+++ b/src/main/java/gorserill/cluster/consensus/StableStorage.java
@@ -4,18 +4,21 @@
 import java.util.SortedMap;
 
 /**
- * Where a voter keeps texts by name: what was put before a {@link #flush} that returned outlasts any crash.
+ * Persistent key-value storage of a voter: changes made before a {@link #flush} that returned normally
+ * survive a crash.
  */
 public interface StableStorage {
     void put(String key, String text);
 
     void remove(String key);
 
-    /** All that is there, by name. */
+    /** All entries by key. */
     SortedMap<String, String> all();
 
     /**
-     * @throws IOException where it is not known what outlasts a crash: then the shelf is to be used no more
+     * Makes all changes durable.
+     *
+     * @throws IOException if the durable state is unknown; the storage must not be used any more
      */
     void flush() throws IOException;
 }
--- a/src/main/java/gorserill/cluster/consensus/Voter.java
+++ b/src/main/java/gorserill/cluster/consensus/Voter.java
@@ -39,156 +39,163 @@
 import java.util.function.Consumer;
 
 /**
- * One of the few members that keep the replicated log. All of it runs on the member's thread. What it
- * promises rests on a quorum of voters and their disks alone; times only say when a leader is given up.
+ * A member that keeps the replicated log. All code runs on the thread of the member. Safety depends only on a
+ * quorum of voters and their disks; timeouts only decide when a leader is considered failed.
  */
 public final class Voter {
-    /** Entries in one message: each is below a kilobyte, and a message must fit a datagram. */
-    private static final int ENTRIES = 4;
-
-    private static final int PENDING = 256;
-    private static final int ENTRIES_KEPT = 512;
-    /** The library counts heartbeats in seconds; one of them lasts as long as the settings say. */
-    private static final long SECOND = 1_000;
-
-    private static final int BEATS_TO_GIVE_UP = 5;
-    /** So many times as long without a sign, and a follower is stuck. */
-    private static final int STUCK = 4;
-    /** Refusals of the same entries one after another, and a follower is stuck. */
-    private static final int REFUSALS = 20;
-    /** Characters in a piece of a snapshot. */
-    private static final int CHUNK = 3_000;
-
-    /** What the log is applied to; the same entries in the same order give the same state everywhere. */
+    /** Log entries per message: each is below a kilobyte, and a message must fit a datagram. */
+    private static final int MAX_ENTRIES_PER_MESSAGE = 4;
+
+    private static final int MAX_PENDING_ENTRIES = 256;
+    private static final int ENTRIES_PER_SNAPSHOT = 512;
+    /**
+     * The library counts heartbeats in whole seconds; its clock is scaled so that one second lasts one
+     * heartbeat period.
+     */
+    private static final long LIBRARY_SECOND_MS = 1_000;
+
+    private static final int LEADER_TIMEOUT_HEARTBEATS = 5;
+    /** Multiple of the heartbeat timeout without a heartbeat after which a follower counts as stuck. */
+    private static final int STUCK_TIMEOUT_MULTIPLE = 4;
+    /** Consecutive rejections of the same entries after which a follower counts as stuck. */
+    private static final int MAX_REPEATED_REJECTIONS = 20;
+    /** Characters per snapshot chunk; a message must fit a datagram. */
+    private static final int SNAPSHOT_CHUNK_CHARS = 3_000;
+
+    /**
+     * The state machine that the log is applied to; the same entries in the same order must yield the same
+     * state at every voter.
+     */
     public interface ReplicatedState {
-        /** Gives what the entry's author is told. */
+        /** Applies an entry and returns the result for its proposer. */
         Object apply(long index, String entry);
 
         String snapshot();
 
-        /** Takes over a snapshot; null for the state before any entry. */
+        /** Restores a snapshot; null stands for the initial state. */
         void restore(String snapshot);
     }
 
-    private final ClusterEnvironment ground;
+    private final ClusterEnvironment environment;
     private final RaftCodec codec;
-    private final long beat;
+    private final long heartbeatMs;
     private final BiConsumer<String, JsonNode> send;
-    private final ReplicatedState book;
-    private final Consumer<Boolean> leads;
+    private final ReplicatedState replicatedState;
+    private final Consumer<Boolean> onLeadershipChange;
     private final VoterStore store;
     private final String group;
     private final String name;
-    private final Collection<String> voters;
+    private final Collection<String> initialVoters;
     private final Random random;
-    private final Bootstrap founding;
-    private final StableStorage shelf;
-    /** The name that it votes under; empty where it has no place among the voters. */
+    private final Bootstrap bootstrap;
+    private final StableStorage storage;
+    /** The voter name of this node; empty if it is not a voter. */
     private String voter;
 
-    private Collection<String> first;
-    private long since;
-    private boolean changing;
-    /** Null before the first one. */
+    private Collection<String> founders;
+    private long assignedAt;
+    private boolean changePending;
+    /** Null before the first report. */
     private RaftNodeReport lastReport;
 
-    private int refused;
-    private long refusedFrom;
+    private int rejections;
+    private long rejectedIndex;
     private RaftNode raft;
-    private Life life;
+    private RaftInstance raftInstance;
     private String leader;
     private boolean leading;
-    private long applied;
-    private boolean ended;
-    private String broken;
+    private long appliedIndex;
+    private boolean stopped;
+    private String failureReason;
 
     /**
-     * @param group the cluster's name
-     * @param voters the names of the first voters, this one among them; what the shelf says goes before it
-     * @param beat milliseconds between a leader's signs
-     * @param send where messages to other voters go
-     * @param leads is told when this voter begins to lead, and when it no longer does
-     * @throws MalformedMessageException where what the shelf holds can't be read; it names the key
+     * @param group the name of the cluster
+     * @param initialVoters the names of the initial voters, this one among them; a stored assignment takes
+     *     precedence
+     * @param heartbeatMs heartbeat period of the leader in milliseconds
+     * @param send sends messages to other voters
+     * @param onLeadershipChange is called when this voter becomes the leader and when it stops being it
+     * @throws MalformedMessageException if the stored state can't be read; the message names the key
      */
     public Voter(
             String group,
             String name,
-            Collection<String> voters,
-            long beat,
+            Collection<String> initialVoters,
+            long heartbeatMs,
             long seed,
-            ClusterEnvironment ground,
-            StableStorage shelf,
+            ClusterEnvironment environment,
+            StableStorage storage,
             BiConsumer<String, JsonNode> send,
-            ReplicatedState book,
-            Consumer<Boolean> leads)
+            ReplicatedState replicatedState,
+            Consumer<Boolean> onLeadershipChange)
             throws MalformedMessageException {
-        this.ground = ground;
-        this.beat = beat;
+        this.environment = environment;
+        this.heartbeatMs = heartbeatMs;
         this.send = send;
-        this.book = book;
-        this.leads = leads;
+        this.replicatedState = replicatedState;
+        this.onLeadershipChange = onLeadershipChange;
         this.group = group;
         this.name = name;
-        this.voters = voters;
-        this.shelf = shelf;
+        this.initialVoters = initialVoters;
+        this.storage = storage;
         random = new Random(seed);
         codec = new RaftCodec(group);
-        store = new VoterStore(shelf, codec, this::storeFailed);
-        VoterAssignment seat = VoterAssignment.load(shelf);
-        voter = seat != null ? seat.voter() : voters.contains(name) ? name : "";
-        first = seat != null ? seat.first() : voters;
-        since = seat != null ? seat.since() : 0;
-        build();
-        founding = new Bootstrap(
+        store = new VoterStore(storage, codec, this::storeFailed);
+        VoterAssignment seat = VoterAssignment.load(storage);
+        voter = seat != null ? seat.voter() : initialVoters.contains(name) ? name : "";
+        founders = seat != null ? seat.first() : initialVoters;
+        assignedAt = seat != null ? seat.since() : 0;
+        buildRaft();
+        bootstrap = new Bootstrap(
                 name,
-                voters,
-                beat,
-                ground,
-                shelf,
+                initialVoters,
+                heartbeatMs,
+                environment,
+                storage,
                 (to, message) ->
                         this.send(to, JsonNodeFactory.instance.objectNode().set("founding", message)),
-                this::takePart,
+                this::startRaft,
                 this::storeFailed);
     }
 
-    private void takePart() {
+    private void startRaft() {
         if (raft != null) {
             raft.start();
         }
     }
 
-    /** The library's node, as what the store holds makes it. */
-    private void build() throws MalformedMessageException {
-        life = null;
+    /** Creates the Raft node of the library from the stored state. */
+    private void buildRaft() throws MalformedMessageException {
+        raftInstance = null;
         raft = null;
         if (voter.isEmpty()) {
             return;
         }
         RestoredRaftState restored = store.load();
         RaftConfig config = RaftConfig.newBuilder()
-                .setLeaderElectionTimeoutMillis(SECOND)
+                .setLeaderElectionTimeoutMillis(LIBRARY_SECOND_MS)
                 .setLeaderHeartbeatPeriodSecs(1)
-                .setLeaderHeartbeatTimeoutSecs(BEATS_TO_GIVE_UP)
-                .setAppendEntriesRequestBatchSize(ENTRIES)
-                .setMaxPendingLogEntryCount(PENDING)
-                .setCommitCountToTakeSnapshot(ENTRIES_KEPT)
+                .setLeaderHeartbeatTimeoutSecs(LEADER_TIMEOUT_HEARTBEATS)
+                .setAppendEntriesRequestBatchSize(MAX_ENTRIES_PER_MESSAGE)
+                .setMaxPendingLogEntryCount(MAX_PENDING_ENTRIES)
+                .setCommitCountToTakeSnapshot(ENTRIES_PER_SNAPSHOT)
                 .setRaftNodeReportPublishPeriodSecs(1)
                 .build();
-        life = new Life();
+        raftInstance = new RaftInstance();
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
                 .setGroupId(group)
                 .setConfig(config)
-                .setExecutor(life)
-                .setTransport(life)
-                .setStateMachine(life)
+                .setExecutor(raftInstance)
+                .setTransport(raftInstance)
+                .setStateMachine(raftInstance)
                 .setStore(store)
                 .setModelFactory(codec.models())
                 .setRandom(new Random(random.nextLong()))
                 .setClock(new ScaledClock())
-                .setRaftNodeReportListener(life::reported);
+                .setRaftNodeReportListener(raftInstance::reported);
         if (restored == null) {
             List<RaftEndpoint> members = new ArrayList<>();
-            first.forEach(one -> members.add(new VoterEndpoint(one)));
+            founders.forEach(one -> members.add(new VoterEndpoint(one)));
             builder.setLocalEndpoint(new VoterEndpoint(voter)).setInitialGroupMembers(members);
         } else {
             builder.setRestoredState(restored);
@@ -197,37 +204,38 @@
     }
 
     /**
-     * Danger: after votes and signs that crossed, the library's node (0.7) was seen to follow a leader for
-     * good that was long gone. One that does is made anew from its store, as if its process had been
-     * restarted.
+     * Restarts a follower that is stuck. After votes and heartbeats that crossed on the network, the Raft
+     * node of the library (0.7) was observed to follow a leader forever that had long failed. Such a node is
+     * rebuilt from its store, as after a restart of the process.
      */
-    private void unstick(RaftNodeReport report) {
+    private void restartIfStuck(RaftNodeReport report) {
         long heard = report.getLeaderHeartbeatTimestamp().orElse(0L);
         boolean follows =
                 report.getRole() == RaftRole.FOLLOWER && report.getTerm().getLeaderEndpoint() != null;
-        if (!follows || heard <= 0 || ground.millis() - heard * beat / SECOND < beat * BEATS_TO_GIVE_UP * STUCK) {
+        if (!follows
+                || heard <= 0
+                || environment.millis() - heard * heartbeatMs / LIBRARY_SECOND_MS
+                        < heartbeatMs * LEADER_TIMEOUT_HEARTBEATS * STUCK_TIMEOUT_MULTIPLE) {
             return;
         }
-        anew();
+        rebuild();
     }
 
-    private void anew() {
+    private void rebuild() {
         try {
             reported(false, null);
-            applied = 0;
-            book.restore(null);
-            build();
-            takePart();
+            appliedIndex = 0;
+            replicatedState.restore(null);
+            buildRaft();
+            startRaft();
         } catch (MalformedMessageException e) {
             storeFailed(new IOException(e.getMessage()));
         }
     }
 
-    // ---- who votes ----
+    // ---- membership ----
 
-    /**
-     * The voters and those that are to become voters, by the names that they vote under; empty if unknown.
-     */
+    /** The names of the voters and learners, each with whether it votes; empty if unknown. */
     public Map<String, Boolean> members() {
         Map<String, Boolean> members = new TreeMap<>();
         if (raft != null) {
@@ -239,35 +247,35 @@
         return members;
     }
 
-    /** The entry of the log that made the members what they are; 0 for those it was founded with. */
+    /** The index of the log entry of the last membership change; 0 for the initial members. */
     public long membersSince() {
         return raft == null ? 0 : raft.getCommittedMembers().getLogIndex();
     }
 
-    /** What the library's node says of itself, for whoever looks for a fault. */
+    /** State of the Raft node, for diagnosing faults. */
     public String diagnostics() {
         return raft == null
                 ? "none"
                 : raft.getTerm() + " " + raft.getStatus() + " "
                         + raft.getCommittedMembers()
-                        + " applied " + applied + " changing " + changing
+                        + " applied " + appliedIndex + " changing " + changePending
                         + (lastReport == null
                                 ? ""
                                 : " " + lastReport.getRole() + " " + lastReport.getLog() + " "
                                         + lastReport.getEffectiveMembers());
     }
 
-    /** The node of a voter. */
+    /** The node that a voter name belongs to. */
     public static String node(String voter) {
         return VoterEndpoint.node(voter);
     }
 
-    /** Whether a node votes in the place that an entry of the log gave it. */
+    /** Whether a node votes under the assignment made by a log entry. */
     public boolean votes(String node, long entry) {
         return members().getOrDefault(VoterEndpoint.name(node, entry), false);
     }
 
-    /** The nodes of the voters, and of those that are to become voters. */
+    /** The nodes of the voters and learners. */
     public Set<String> voterNodes() {
         Set<String> nodes = new TreeSet<>();
         members().keySet().forEach(one -> nodes.add(VoterEndpoint.node(one)));
@@ -275,33 +283,33 @@
     }
 
     /**
-     * Does the next step of putting one node in another's place, if this voter leads: it comes in as one that
-     * listens, votes once it has the log, and only then the other goes. Danger: done in another order, or two
-     * steps at once, a cluster that has lost a voter would be without a majority meanwhile.
+     * Performs the next step of a voter replacement if this voter leads: the new node joins as a learner, is
+     * promoted once it has the log, and only then the old voter is removed. In another order, or with two
+     * steps at once, a cluster that has lost a voter could be without a majority in between.
      *
-     * @param leaving the node that is to vote no more
-     * @param coming the node that is to vote
-     * @param entry the log's entry that says so
-     * @param seat is given what the node that comes must be told, as long as it must
-     * @return whether nothing is left to be done
+     * @param leaving the node to be removed from the voters
+     * @param coming the node to become a voter
+     * @param entry the index of the log entry that requested the replacement
+     * @param seat receives the assignment to be sent to the new node, for as long as it is needed
+     * @return whether the replacement is complete
      */
     public boolean replace(String leaving, String coming, long entry, Consumer<JsonNode> seat) {
-        String fresh = VoterEndpoint.name(coming, entry);
+        String newVoter = VoterEndpoint.name(coming, entry);
         Map<String, Boolean> members = members();
-        if (changing || !isLeader()) {
+        if (changePending || !isLeader()) {
             return false;
-        } else if (!members.containsKey(fresh)) {
-            change(fresh, MembershipChangeMode.ADD_LEARNER);
-        } else if (!members.get(fresh)) {
-            List<String> founders = new ArrayList<>();
-            raft.getInitialMembers().getMembers().forEach(one -> founders.add(RaftCodec.name(one)));
-            seat.accept(new VoterAssignment(fresh, founders, membersSince()).toJson());
-            promote(fresh);
+        } else if (!members.containsKey(newVoter)) {
+            changeMembership(newVoter, MembershipChangeMode.ADD_LEARNER);
+        } else if (!members.get(newVoter)) {
+            List<String> initialNames = new ArrayList<>();
+            raft.getInitialMembers().getMembers().forEach(one -> initialNames.add(RaftCodec.name(one)));
+            seat.accept(new VoterAssignment(newVoter, initialNames, membersSince()).toJson());
+            promote(newVoter);
         } else {
             for (Map.Entry<String, Boolean> one : members.entrySet()) {
                 boolean goes = VoterEndpoint.node(one.getKey()).equals(leaving) || !one.getValue();
-                if (goes && !one.getKey().equals(fresh)) {
-                    change(one.getKey(), MembershipChangeMode.REMOVE_MEMBER);
+                if (goes && !one.getKey().equals(newVoter)) {
+                    changeMembership(one.getKey(), MembershipChangeMode.REMOVE_MEMBER);
                     return false;
                 }
             }
@@ -310,113 +318,116 @@
         return false;
     }
 
-    private void promote(String fresh) {
+    private void promote(String newVoter) {
         RaftNode its = raft;
-        changing = true;
+        changePending = true;
         its.getReport()
-                .whenComplete((report, fault) -> ground.after(0, () -> {
-                    changing = false;
-                    if (fault == null && raft == its && !ended) {
+                .whenComplete((report, fault) -> environment.after(0, () -> {
+                    changePending = false;
+                    if (fault == null && raft == its && !stopped) {
                         var log = report.getResult().getLog();
-                        if (log.getFollowerMatchIndices().getOrDefault(new VoterEndpoint(fresh), 0L)
-                                >= log.getCommitIndex() - ENTRIES) {
-                            change(fresh, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
+                        if (log.getFollowerMatchIndices().getOrDefault(new VoterEndpoint(newVoter), 0L)
+                                >= log.getCommitIndex() - MAX_ENTRIES_PER_MESSAGE) {
+                            changeMembership(newVoter, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
                         }
                     }
                 }));
     }
 
-    private void change(String who, MembershipChangeMode how) {
-        changing = true;
+    private void changeMembership(String who, MembershipChangeMode how) {
+        changePending = true;
         RaftNode its = raft;
         its.changeMembership(new VoterEndpoint(who), how, membersSince())
-                .whenComplete((result, fault) -> ground.after(0, () -> {
-                    changing = false;
+                .whenComplete((result, fault) -> environment.after(0, () -> {
+                    changePending = false;
                 }));
     }
 
-    /** A leader gives this node a place among the voters. One that has a place keeps it. */
+    /** Accepts the voter assignment sent by a leader; a node that is already a voter keeps its assignment. */
     public void acceptAssignment(JsonNode text) throws MalformedMessageException {
         VoterAssignment seat = VoterAssignment.parse(text, "seat");
-        boolean free = voter.isEmpty() || founding.stateLost();
-        if (ended || !free || !VoterEndpoint.node(seat.voter()).equals(name) || seat.since() <= since) {
+        boolean free = voter.isEmpty() || bootstrap.stateLost();
+        if (stopped || !free || !VoterEndpoint.node(seat.voter()).equals(name) || seat.since() <= assignedAt) {
             return;
         }
-        take(seat);
+        applyAssignment(seat);
     }
 
-    private void take(VoterAssignment seat) {
+    private void applyAssignment(VoterAssignment seat) {
         try {
-            seat.save(shelf);
+            seat.save(storage);
         } catch (IOException e) {
             storeFailed(e);
             return;
         }
-        founding.markComplete();
+        bootstrap.markComplete();
         voter = seat.voter();
-        first = seat.first();
-        since = seat.since();
-        anew();
+        founders = seat.first();
+        assignedAt = seat.since();
+        rebuild();
     }
 
     /**
-     * Hears, from a leader that a quorum confirmed, who the members are. Danger: one that is none of them any
-     * more would go on asking for votes; it keeps no log, and never comes back under its name.
+     * Handles the member list of a leader that a quorum has confirmed. A voter that was removed would
+     * continue to request votes; it discards its log and never votes under its old name again.
      */
     public void updateMembers(Set<String> members, long as) {
-        if (!ended
+        if (!stopped
                 && !voter.isEmpty()
-                && founding.isComplete()
-                && as > since
+                && bootstrap.isComplete()
+                && as > assignedAt
                 && !members.isEmpty()
                 && !members.contains(voter)) {
-            take(new VoterAssignment("", List.copyOf(first), as));
+            applyAssignment(new VoterAssignment("", List.copyOf(founders), as));
         }
     }
 
-    /** Plants a fault: a voter whose store is empty goes on as if the cluster had been founded with it. */
-    public static void injectFounded(StableStorage shelf) {
-        shelf.put(Bootstrap.KEY, Bootstrap.Stage.FOUNDED.name());
+    /** Injects a fault: a voter with an empty store acts as if the cluster had been founded with it. */
+    public static void injectFounded(StableStorage storage) {
+        storage.put(Bootstrap.KEY, Bootstrap.Stage.FOUNDED.name());
     }
 
     public void start() {
-        founding.start();
+        bootstrap.start();
     }
 
     private void send(String to, JsonNode message) {
-        if (!ended) {
+        if (!stopped) {
             send.accept(to, message);
         }
     }
 
-    /** Takes no further part; what it promised stays on its shelf. */
+    /** Stops participating; the stored state is kept. */
     public void stop() {
-        ended = true;
+        stopped = true;
     }
 
-    /** Why this voter takes no part, or null where it does. */
+    /** The reason why this voter does not participate; null if it does. */
     public String inactiveReason() {
-        return broken != null
-                ? broken
-                : founding.stateLost()
+        return failureReason != null
+                ? failureReason
+                : bootstrap.stateLost()
                         ? "its store is empty, but the cluster was founded: it must be replaced"
                         : voter.isEmpty()
-                                ? since > 0 ? "another has its place" : "spare"
-                                : founding.isComplete() ? null : "waits for all voters to be there for the first time";
+                                ? assignedAt > 0 ? "replaced by another voter" : "spare"
+                                : bootstrap.isComplete()
+                                        ? null
+                                        : "waiting for all initial voters to report for the first time";
     }
 
-    /** A message of another voter. */
+    /** Handles a message of another voter. */
     public void receive(String from, JsonNode message) throws MalformedMessageException {
-        if (ended) {
+        if (stopped) {
             return;
         } else if (message.path("founding").isObject()) {
-            founding.receive(from, message.path("founding"));
+            bootstrap.receive(from, message.path("founding"));
         } else if (!VoterEndpoint.node(message.path("from").asText()).equals(from)) {
             throw new MalformedMessageException("raft: from: is not its sender");
         } else {
             RaftMessage read = codec.read(message);
-            // Danger: one that lost its memory must not answer as if it had none to lose; nor as another.
-            if (founding.isComplete()
+            // A voter that lost its state must not answer as if it had none to lose, nor under another voter
+            // name.
+            if (bootstrap.isComplete()
                     && raft != null
                     && message.path("to").asText().equals(voter)) {
                 raft.handle(read);
@@ -424,52 +435,53 @@
         }
     }
 
-    /** Who leads as far as is known; null where nobody does. */
+    /** The node of the leader, as far as known; null if there is none. */
     public String leader() {
         return leader == null ? null : VoterEndpoint.node(leader);
     }
 
     public boolean isLeader() {
-        return leading && !ended;
+        return leading && !stopped;
     }
 
-    /** The index of the last entry that was applied here. */
+    /** The index of the last entry applied here. */
     public long appliedIndex() {
-        return applied;
+        return appliedIndex;
     }
 
     /**
-     * Puts an entry into the log.
+     * Proposes a log entry.
      *
-     * @param then what the book made of it, or null where it is not known whether it is in the log or will be
+     * @param then receives the result of applying it, or null if it is not known whether the entry is or will
+     *     be in the log
      */
     public void propose(String entry, Consumer<Object> then) {
         if (raft == null) {
-            ground.after(0, () -> then.accept(null));
+            environment.after(0, () -> then.accept(null));
             return;
         }
-        done(raft.<Object>replicate(entry), then);
+        deliver(raft.<Object>replicate(entry), then);
     }
 
-    /** Asks a quorum whether this voter still leads: if so, what it has applied holds at this moment. */
+    /** Asks a quorum to confirm that this voter still leads; if so, its applied state is current. */
     public void confirmLeadership(Consumer<Boolean> then) {
         if (raft == null) {
-            ground.after(0, () -> then.accept(false));
+            environment.after(0, () -> then.accept(false));
             return;
         }
-        done(
+        deliver(
                 raft.<Object>query("", QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty()),
                 result -> then.accept(result != null));
     }
 
-    private <T> void done(CompletableFuture<io.microraft.Ordered<T>> future, Consumer<Object> then) {
+    private <T> void deliver(CompletableFuture<io.microraft.Ordered<T>> future, Consumer<Object> then) {
         future.whenComplete((result, fault) ->
-                ground.after(0, () -> then.accept(fault == null && !ended ? result.getResult() : null)));
+                environment.after(0, () -> then.accept(fault == null && !stopped ? result.getResult() : null)));
     }
 
     private void storeFailed(IOException e) {
-        broken = "its store failed: " + e.getMessage();
-        ended = true;
+        failureReason = "the store failed: " + e.getMessage();
+        stopped = true;
         reported(false, null);
     }
 
@@ -477,15 +489,15 @@
         leader = nowLeader;
         if (leading != nowLeading) {
             leading = nowLeading;
-            leads.accept(nowLeading);
+            onLeadershipChange.accept(nowLeading);
         }
     }
 
-    /** The ground's clock, quick enough that a beat is one of the library's seconds. */
+    /** The clock of the environment, scaled so that one heartbeat period is one second of the library. */
     private final class ScaledClock extends Clock {
         @Override
         public long millis() {
-            return ground.millis() * SECOND / beat;
+            return environment.millis() * LIBRARY_SECOND_MS / heartbeatMs;
         }
 
         @Override
@@ -505,22 +517,22 @@
     }
 
     /**
-     * Danger: the library's node (0.7) was seen to refuse the same entries for good, those of a change of the
-     * members among them, though it had the ones before; the leader could commit nothing more. One that does
-     * is made anew from its store, too.
+     * Restarts a follower that keeps rejecting entries. The Raft node of the library (0.7) was observed to
+     * reject the same entries forever, those of a membership change among them, though it had the preceding
+     * ones, so that the leader could not commit anything more. Such a node is rebuilt from its store.
      */
-    private void refuses(RaftMessage message) {
+    private void checkRejections(RaftMessage message) {
         if (message instanceof AppendEntriesSuccessResponse) {
-            refused = 0;
+            rejections = 0;
         } else if (message instanceof AppendEntriesFailureResponse failure) {
-            refused = failure.getExpectedNextIndex() == refusedFrom ? refused + 1 : 1;
-            refusedFrom = failure.getExpectedNextIndex();
-            if (refused >= REFUSALS) {
-                refused = 0;
-                Life its = life;
-                ground.after(0, () -> {
-                    if (!its.over()) {
-                        anew();
+            rejections = failure.getExpectedNextIndex() == rejectedIndex ? rejections + 1 : 1;
+            rejectedIndex = failure.getExpectedNextIndex();
+            if (rejections >= MAX_REPEATED_REJECTIONS) {
+                rejections = 0;
+                RaftInstance its = raftInstance;
+                environment.after(0, () -> {
+                    if (!its.isObsolete()) {
+                        rebuild();
                     }
                 });
             }
@@ -528,24 +540,25 @@
     }
 
     /**
-     * What one life of the library's node stands on; once another has begun, nothing comes of it any more.
+     * The transport, executor and state machine of one Raft node instance; once another instance is built,
+     * callbacks of this one have no effect.
      */
-    private final class Life implements Transport, RaftNodeExecutor, StateMachine {
-        private boolean over() {
-            return ended || life != this;
+    private final class RaftInstance implements Transport, RaftNodeExecutor, StateMachine {
+        private boolean isObsolete() {
+            return stopped || raftInstance != this;
         }
 
         void reported(RaftNodeReport report) {
-            if (!over()) {
+            if (!isObsolete()) {
                 lastReport = report;
                 Voter.this.reported(
                         report.getRole() == RaftRole.LEADER,
                         RaftCodec.name(report.getTerm().getLeaderEndpoint()));
-                // Danger: the library's node is in the middle of something, and would go on with it on a new
-                // book.
-                ground.after(0, () -> {
-                    if (!over()) {
-                        unstick(report);
+                // Deferred, as the Raft node is in the middle of an operation and would continue it on the
+                // rebuilt state.
+                environment.after(0, () -> {
+                    if (!isObsolete()) {
+                        restartIfStuck(report);
                     }
                 });
             }
@@ -553,8 +566,8 @@
 
         @Override
         public void send(RaftEndpoint target, RaftMessage message) {
-            if (!over()) {
-                refuses(message);
+            if (!isObsolete()) {
+                checkRejections(message);
                 String to = RaftCodec.name(target);
                 Voter.this.send(VoterEndpoint.node(to), codec.write(message).put("to", to));
             }
@@ -577,8 +590,8 @@
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            ground.after(unit.toMillis(delay) * beat / SECOND, () -> {
-                if (!over()) {
+            environment.after(unit.toMillis(delay) * heartbeatMs / LIBRARY_SECOND_MS, () -> {
+                if (!isObsolete()) {
                     task.run();
                 }
             });
@@ -587,21 +600,21 @@
         @Override
         public Object runOperation(long index, Object operation) {
             String entry = (String) operation;
-            if (over()) {
-                throw new IllegalStateException("this life of the library's node is over");
+            if (isObsolete()) {
+                throw new IllegalStateException("this Raft node instance was replaced");
             } else if (entry.isEmpty()) {
-                // A new term's first entry, or the question whether this voter leads.
+                // The first entry of a new term, or a query that confirms the leadership.
                 return Boolean.TRUE;
             }
-            applied = index;
-            return book.apply(index, entry);
+            appliedIndex = index;
+            return replicatedState.apply(index, entry);
         }
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> pieces) {
-            String text = book.snapshot();
-            for (int from = 0; from < text.length(); from += CHUNK) {
-                pieces.accept(text.substring(from, Math.min(text.length(), from + CHUNK)));
+            String text = replicatedState.snapshot();
+            for (int from = 0; from < text.length(); from += SNAPSHOT_CHUNK_CHARS) {
+                pieces.accept(text.substring(from, Math.min(text.length(), from + SNAPSHOT_CHUNK_CHARS)));
             }
         }
 
@@ -609,8 +622,8 @@
         public void installSnapshot(long index, List<Object> pieces) {
             StringBuilder text = new StringBuilder();
             pieces.forEach(text::append);
-            applied = index;
-            book.restore(text.toString());
+            appliedIndex = index;
+            replicatedState.restore(text.toString());
         }
 
         @Override
--- a/src/main/java/gorserill/cluster/consensus/VoterAssignment.java
+++ b/src/main/java/gorserill/cluster/consensus/VoterAssignment.java
@@ -10,11 +10,11 @@
 import java.util.List;
 
 /**
- * A place among the voters that a node was given after the cluster was founded.
+ * The role of a node as a voter, assigned after the cluster was founded.
  *
- * @param voter the name that it votes under; empty where another took its place
- * @param first the voters that the cluster was founded with
- * @param since the entry of the log that made it a member
+ * @param voter the voter name; empty if the node was replaced
+ * @param first the initial voters of the cluster
+ * @param since the index of the log entry of the membership change
  */
 record VoterAssignment(String voter, List<String> first, long since) {
     private static final String KEY = "seat";
@@ -26,7 +26,7 @@
         return text;
     }
 
-    /** @throws MalformedMessageException where it is none */
+    /** @throws MalformedMessageException if it is not a valid assignment */
     static VoterAssignment parse(JsonNode text, String where) throws MalformedMessageException {
         List<String> first = new ArrayList<>();
         text.path("first").forEach(name -> first.add(name.asText()));
@@ -39,9 +39,9 @@
                 text.path("voter").asText(), first, text.path("since").asLong());
     }
 
-    /** The one that the shelf holds; null where there is none. */
-    static VoterAssignment load(StableStorage shelf) throws MalformedMessageException {
-        String text = shelf.all().get(KEY);
+    /** The stored assignment; null if there is none. */
+    static VoterAssignment load(StableStorage storage) throws MalformedMessageException {
+        String text = storage.all().get(KEY);
         try {
             return text == null ? null : parse(TEXT.readTree(text), KEY);
         } catch (JsonProcessingException e) {
@@ -49,11 +49,14 @@
         }
     }
 
-    /** Clears a shelf for the seat: in one step, so that a crash leaves the one or the other. */
-    void save(StableStorage shelf) throws IOException {
-        List.copyOf(shelf.all().keySet()).forEach(shelf::remove);
-        shelf.put(KEY, toJson().toString());
-        shelf.put(Bootstrap.KEY, Bootstrap.Stage.FOUNDED.name());
-        shelf.flush();
+    /**
+     * Replaces all stored data by this assignment in one flush, so that a crash leaves either the old or the
+     * new state.
+     */
+    void save(StableStorage storage) throws IOException {
+        List.copyOf(storage.all().keySet()).forEach(storage::remove);
+        storage.put(KEY, toJson().toString());
+        storage.put(Bootstrap.KEY, Bootstrap.Stage.FOUNDED.name());
+        storage.flush();
     }
 }
--- a/src/main/java/gorserill/cluster/consensus/VoterEndpoint.java
+++ b/src/main/java/gorserill/cluster/consensus/VoterEndpoint.java
@@ -3,22 +3,21 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * A voter in the group: the name of its node, or, where it came in another's place, that and the number of
- * the log's entry that said so. Danger: a node that lost its disk must not come back as the voter that it
- * was.
+ * The name of a voter: that of its node or, if it replaced another voter, that and the index of the log entry
+ * that requested it. A node that lost its disk must not return under its former voter name.
  */
 record VoterEndpoint(String name) implements RaftEndpoint {
-    private static final char PLACE = '#';
+    private static final char ENTRY_SEPARATOR = '#';
 
-    /** The voter that a node becomes by that entry of the log. */
+    /** The voter name that a node gets by a log entry. */
     static String name(String node, long entry) {
-        return node + PLACE + entry;
+        return node + ENTRY_SEPARATOR + entry;
     }
 
-    /** The node of a voter. */
+    /** The node that a voter name belongs to. */
     static String node(String name) {
-        int place = name.lastIndexOf(PLACE);
-        return place < 0 ? name : name.substring(0, place);
+        int separator = name.lastIndexOf(ENTRY_SEPARATOR);
+        return separator < 0 ? name : name.substring(0, separator);
     }
 
     @Override
--- a/src/main/java/gorserill/cluster/consensus/VoterStore.java
+++ b/src/main/java/gorserill/cluster/consensus/VoterStore.java
@@ -22,9 +22,9 @@
 import java.util.function.Consumer;
 
 /**
- * What a voter must not forget, on a shelf: whom it voted for in which term, the log, the last snapshot.
- * Danger: after a write that failed nobody knows what the disk holds, so the voter is told and takes no
- * further part; it must not answer as if it remembered.
+ * The persistent Raft state of a voter: term and vote, log, and the latest snapshot. After a failed write the
+ * state on disk is unknown, so the voter is notified and stops participating instead of answering from
+ * incomplete state.
  */
 final class VoterStore implements RaftStore {
     private static final String ENDPOINT = "endpoint";
@@ -34,19 +34,19 @@
     private static final String CHUNK = "chunk/";
     private static final ObjectMapper TEXT = new ObjectMapper();
 
-    private final StableStorage shelf;
+    private final StableStorage storage;
     private final RaftCodec codec;
     private final Consumer<IOException> failed;
 
-    VoterStore(StableStorage shelf, RaftCodec codec, Consumer<IOException> failed) {
-        this.shelf = shelf;
+    VoterStore(StableStorage storage, RaftCodec codec, Consumer<IOException> failed) {
+        this.storage = storage;
         this.codec = codec;
         this.failed = failed;
     }
 
-    /** What was kept, or null where nothing was: then this voter remembers no vote and no entry. */
+    /** The stored state; null if there is none, that is, no vote and no entry. */
     RestoredRaftState load() throws MalformedMessageException {
-        SortedMap<String, String> all = shelf.all();
+        SortedMap<String, String> all = storage.all();
         if (!all.containsKey(ENDPOINT) || !all.containsKey(MEMBERS)) {
             return null;
         }
@@ -56,7 +56,7 @@
                         new VoterEndpoint(read(all, ENDPOINT).path("name").asText()))
                 .setVoting(read(all, ENDPOINT).path("voting").asBoolean())
                 .build();
-        // Danger: one that ended before its first term has none kept, and the library takes no null.
+        // A voter stopped before its first term has stored none, and the library does not accept null.
         JsonNode kept = all.containsKey(TERM) ? read(all, TERM) : TEXT.createObjectNode();
         RaftTermPersistentState term = codec.models()
                 .createRaftTermPersistentStateBuilder()
@@ -77,7 +77,7 @@
         return new RestoredRaftState(endpoint, codec.view(read(all, MEMBERS)), term, snapshot, entries);
     }
 
-    /** The last snapshot of which every piece is there. */
+    /** The latest snapshot with all its chunks. */
     private SnapshotEntry snapshot(SortedMap<String, String> all) throws MalformedMessageException {
         Map<Long, List<SnapshotChunk>> byIndex = new TreeMap<>();
         for (String key : all.subMap(CHUNK, CHUNK + "~").keySet()) {
@@ -121,19 +121,19 @@
         ObjectNode text = TEXT.createObjectNode()
                 .put("name", RaftCodec.name(state.getLocalEndpoint()))
                 .put("voting", state.isVoting());
-        shelf.put(ENDPOINT, text.toString());
+        storage.put(ENDPOINT, text.toString());
         flush();
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-        shelf.put(MEMBERS, codec.view(members).toString());
+        storage.put(MEMBERS, codec.view(members).toString());
         flush();
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
-        shelf.put(
+        storage.put(
                 TERM,
                 TEXT.createObjectNode()
                         .put("term", state.getTerm())
@@ -144,13 +144,13 @@
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) {
-        entries.forEach(
-                entry -> shelf.put(logKey(entry.getIndex()), codec.entry(entry).toString()));
+        entries.forEach(entry ->
+                storage.put(logKey(entry.getIndex()), codec.entry(entry).toString()));
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) {
-        shelf.put(
+        storage.put(
                 chunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex()),
                 codec.chunk(chunk).toString());
     }
@@ -171,13 +171,13 @@
     }
 
     private void removeAll(String from, String below) {
-        new ArrayList<>(shelf.all().subMap(from, below).keySet()).forEach(shelf::remove);
+        new ArrayList<>(storage.all().subMap(from, below).keySet()).forEach(storage::remove);
     }
 
     @Override
     public void flush() throws IOException {
         try {
-            shelf.flush();
+            storage.flush();
         } catch (IOException e) {
             failed.accept(e);
             throw e;
--- a/src/main/java/gorserill/cluster/consensus/package-info.java
+++ b/src/main/java/gorserill/cluster/consensus/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The replicated log: MicroRaft (Raft; Ongaro and Ousterhout, 2014) on the member's own thread, clock, wire
- * and store. What the log means is not known here.
+ * The replicated log: MicroRaft (Raft; Ongaro and Ousterhout, 2014) on the thread, clock, network and storage
+ * of the member. The content of the entries is opaque here.
  */
 package gorserill.cluster.consensus;
--- a/src/main/java/gorserill/cluster/member/BudgetRequests.java
+++ b/src/main/java/gorserill/cluster/member/BudgetRequests.java
@@ -10,19 +10,19 @@
 import java.util.function.Consumer;
 
 /**
- * Requests for parts of budgets that wait at the leader to go into the log as groups. Of a node and a budget
- * the newest one waits alone, since it says all that the ones before it said. Free of I/O and clock.
+ * Budget requests queued at the leader to be proposed in groups. Per node and budget only the newest one is
+ * kept, as it supersedes the earlier ones. Free of I/O and clock.
  */
 final class BudgetRequests {
-    /** Characters of the requests in a group: a message between voters must hold several groups. */
-    static final int GROUP = 3_000;
-    /** Requests that wait at the most; what comes beyond that is asked for again by its author. */
-    static final int WAITING = 4_096;
+    /** Maximum characters of the requests in a group; a message between voters must hold several groups. */
+    static final int MAX_GROUP_CHARS = 3_000;
+    /** Maximum number of queued requests; further ones are refused and repeated by their senders. */
+    static final int MAX_WAITING = 4_096;
 
     /**
-     * A request and its author, who waits.
+     * A queued request and its callback.
      *
-     * @param then the answer, or null where there is none: a newer one took its place, or there is no room
+     * @param then receives the answer, or null if a newer request superseded this one or the queue is full
      */
     record Waiting(Entry.RequestBudget request, Consumer<Register.CommandResult> then) {}
 
@@ -33,7 +33,7 @@
     void add(Entry.RequestBudget request, Consumer<Register.CommandResult> then) {
         Key key = new Key(request.node(), request.budget());
         Waiting before = waiting.get(key);
-        if (before == null ? waiting.size() >= WAITING : newer(before.request, request)) {
+        if (before == null ? waiting.size() >= MAX_WAITING : newer(before.request, request)) {
             then.accept(null);
             return;
         }
@@ -47,14 +47,14 @@
         return one.life() != other.life() ? one.life() > other.life() : one.turn() > other.turn();
     }
 
-    /** Takes the requests of the next group, those that wait longest first; one at least, if any waits. */
+    /** Removes and returns the next group, oldest requests first; never empty if requests are queued. */
     List<Waiting> next() {
         List<Waiting> group = new ArrayList<>();
         int characters = 0;
         for (Iterator<Waiting> all = waiting.values().iterator(); all.hasNext(); ) {
             Waiting one = all.next();
             characters += Register.text(one.request).length();
-            if (characters > GROUP && !group.isEmpty()) {
+            if (characters > MAX_GROUP_CHARS && !group.isEmpty()) {
                 break;
             }
             group.add(one);
--- a/src/main/java/gorserill/cluster/member/LeaderService.java
+++ b/src/main/java/gorserill/cluster/member/LeaderService.java
@@ -17,98 +17,106 @@
 import java.util.function.Consumer;
 
 /**
- * Serves the members while this voter leads: puts entries into the log for them, renews leases, ends the
- * lives of those not heard. Danger: a leader that was cut off does not know it; a lease is renewed only after
- * a quorum said that it still leads.
+ * Serves the members while this voter leads: proposes log entries for them, renews leases and closes the
+ * lives of nodes that were not heard. A leader that was partitioned off does not notice it at once, so a
+ * lease is completeRenewal only after a quorum has confirmed the leadership.
  */
 final class LeaderService {
-    /** Renewals are confirmed together, and requests for budgets put into the log, so many beats apart. */
-    private static final double GATHER = 0.25;
-    /** Renewals that wait; beyond that they are dropped, and asked for again. */
-    private static final int WAITING = 1_024;
+    /** Batching interval of renewals and budget requests, in heartbeat periods. */
+    private static final double BATCH_INTERVAL = 0.25;
+    /** Maximum number of waiting renewals; further ones are dropped and repeated by their senders. */
+    private static final int MAX_WAITING_RENEWALS = 1_024;
 
     private final MemberConfig config;
-    private final ClusterEnvironment ground;
+    private final ClusterEnvironment environment;
     private final Voter voter;
     private final Register register;
     private final BiConsumer<String, ObjectNode> send;
     private final Map<String, Heard> heardAt = new HashMap<>();
-    /** Lives whose end is proposed, by node: whether the log has it yet or not, they are renewed no more. */
-    private final Map<String, Long> closing = new HashMap<>();
+    /**
+     * Lives proposed for closing, by node. They are not renewed any more, whether or not the entry is
+     * committed.
+     */
+    private final Map<String, Long> closingLives = new HashMap<>();
 
-    private final List<Renewal> waiting = new ArrayList<>();
-    private final PendingRequests questions = new PendingRequests();
+    private final List<Renewal> waitingRenewals = new ArrayList<>();
+    private final PendingRequests pendingRequests = new PendingRequests();
     private final BudgetRequests requests = new BudgetRequests();
-    private boolean grouping;
-    private boolean confirming;
-    private long leadsSince = -1;
-    private long lookedAt;
-    private final Map<String, Long> ghostsSeen = new HashMap<>();
+    private boolean groupPending;
+    private boolean confirmationPending;
+    private long leaderSinceMs = -1;
+    private long lastCheckMs;
+    private final Map<String, Long> ghostsSeenAt = new HashMap<>();
 
-    /** When the life of that number was heard last. */
+    /** The time at which a life was last heard. */
     private record Heard(long life, long at) {}
 
-    private record Renewal(BiConsumer<String, ObjectNode> back, String node, long life, long at, long came) {}
+    private record Renewal(BiConsumer<String, ObjectNode> back, String node, long life, long at, long receivedAt) {}
 
     LeaderService(
             MemberConfig config,
-            ClusterEnvironment ground,
+            ClusterEnvironment environment,
             Voter voter,
             Register register,
             BiConsumer<String, ObjectNode> send) {
         this.config = config;
-        this.ground = ground;
+        this.environment = environment;
         this.voter = voter;
         this.register = register;
         this.send = send;
     }
 
-    /** Danger: a new leader has heard nobody yet; all get a whole patience from here on. */
-    void leads(boolean now) {
-        leadsSince = now ? ground.millis() : -1;
+    /**
+     * A new leader has not heard any node yet, so each one gets a full failure timeout from the election on.
+     */
+    void onLeadershipChange(boolean leading) {
+        leaderSinceMs = leading ? environment.millis() : -1;
         heardAt.clear();
-        closing.clear();
-        waiting.clear();
-        confirming = false;
-        questions.clear();
+        closingLives.clear();
+        waitingRenewals.clear();
+        confirmationPending = false;
+        pendingRequests.clear();
         requests.clear();
-        grouping = false;
-        lookedAt = leadsSince;
-        ghostsSeen.clear();
-        if (now) {
-            watch(leadsSince);
+        groupPending = false;
+        lastCheckMs = leaderSinceMs;
+        ghostsSeenAt.clear();
+        if (leading) {
+            checkNodes(leaderSinceMs);
         }
     }
 
-    private void watch(long since) {
-        if (leadsSince != since) {
+    private void checkNodes(long since) {
+        if (leaderSinceMs != since) {
             return;
         }
-        // Danger: one that was stalled, or is starved, has not listened, and would take all others for dead.
-        long late = Math.max(0, ground.millis() - lookedAt - 2 * config.heartbeatMs());
-        lookedAt = ground.millis();
-        if (late > 0) {
-            heardAt.replaceAll((node, heard) -> new Heard(heard.life, heard.at + late));
+        // If this process was suspended or starved, it did not receive renewals either: the delay is added to
+        // the last-heard times so that live nodes are not closed.
+        long delayMs = Math.max(0, environment.millis() - lastCheckMs - 2 * config.heartbeatMs());
+        lastCheckMs = environment.millis();
+        if (delayMs > 0) {
+            heardAt.replaceAll((node, heard) -> new Heard(heard.life, heard.at + delayMs));
         }
         for (Map.Entry<String, Register.Node> each :
                 List.copyOf(register.nodes().entrySet())) {
             long life = each.getValue().life;
             Heard heard = heardAt.get(each.getKey());
             if (heard == null || heard.life != life) {
-                // Danger: measured by when the life before was heard, a new one would be over at once.
-                heardAt.put(each.getKey(), new Heard(life, ground.millis()));
-            } else if (ground.millis() - heard.at > config.failureTimeoutMs()) {
-                heardAt.put(each.getKey(), new Heard(life, ground.millis()));
-                closing.put(each.getKey(), life);
+                // A new life starts its own timeout; with the last-heard time of the previous life it would
+                // be closed at once.
+                heardAt.put(each.getKey(), new Heard(life, environment.millis()));
+            } else if (environment.millis() - heard.at > config.failureTimeoutMs()) {
+                heardAt.put(each.getKey(), new Heard(life, environment.millis()));
+                closingLives.put(each.getKey(), life);
                 put(new Entry.Close(each.getKey(), life, Register.NOT_HEARD), answer -> {});
             }
         }
-        // Danger: a process that was replaced spends until its lease is over, and may not know yet.
+        // A replaced process may spend its share until its lease expires, without knowing that it was
+        // replaced.
         Set<String> ghosts = register.budgetShares().ghosts.keySet();
-        ghostsSeen.keySet().retainAll(ghosts);
-        ghosts.forEach(ghost -> ghostsSeen.putIfAbsent(ghost, ground.millis()));
-        ghostsSeen.forEach((ghost, at) -> {
-            if (ground.millis() - at > config.failureTimeoutMs()) {
+        ghostsSeenAt.keySet().retainAll(ghosts);
+        ghosts.forEach(ghost -> ghostsSeenAt.putIfAbsent(ghost, environment.millis()));
+        ghostsSeenAt.forEach((ghost, at) -> {
+            if (environment.millis() - at > config.failureTimeoutMs()) {
                 put(new Entry.ReclaimShare(ghost), answer -> {});
             }
         });
@@ -121,7 +129,7 @@
                         seat -> send.accept(its.coming, message("seat").set("seat", seat)))) {
             put(new Entry.Replaced(its.entry), answer -> {});
         }
-        ground.after(config.heartbeatMs(), () -> watch(since));
+        environment.after(config.heartbeatMs(), () -> checkNodes(since));
     }
 
     private void put(Entry entry, Consumer<Register.CommandResult> then) {
@@ -129,25 +137,25 @@
     }
 
     /**
-     * Puts an entry into the log, and tells those whose pieces that changed.
+     * Proposes an entry and sends the new view to each node that becomes an owner by it.
      *
-     * @param then what the register made of it; null where that is not known
+     * @param then receives the result of the register, or null if the outcome is not known
      */
-    private <T> void put(Entry entry, Class<T> what, Consumer<T> then) {
+    private <T> void put(Entry entry, Class<T> resultType, Consumer<T> then) {
         Map<String, Long> before = new HashMap<>();
         register.pieces().forEach((name, piece) -> before.put(name, piece.epoch));
         voter.propose(Register.text(entry), result -> {
-            then.accept(what.isInstance(result) ? what.cast(result) : null);
+            then.accept(resultType.isInstance(result) ? resultType.cast(result) : null);
             register.pieces().forEach((name, piece) -> {
                 if (piece.epoch != before.getOrDefault(name, 0L) && !piece.owner.isEmpty()) {
-                    // Danger: told now, a new owner need not wait for its next renewal.
+                    // Sent at once, so that a new owner need not wait for its next renewal.
                     send.accept(piece.owner, view(piece.owner, -1));
                 }
             });
         });
     }
 
-    void asked(BiConsumer<String, ObjectNode> back, String from, String process, long id, Entry entry) {
+    void handleRequest(BiConsumer<String, ObjectNode> back, String from, String process, long id, Entry entry) {
         Consumer<Register.CommandResult> way = answer -> back.accept(
                 from,
                 message("told")
@@ -156,18 +164,18 @@
                         .put("done", answer.accepted())
                         .put("why", answer.reason())
                         .put("number", answer.value()));
-        String whyNot = entry.format() > register.format()
-                ? "not all nodes are of a build that knows this yet"
-                : entry instanceof Entry.Replace replace ? whyNot(replace) : null;
-        Consumer<Register.CommandResult> all = answer -> questions.complete(process, id, answer);
-        if (whyNot != null) {
-            way.accept(new Register.CommandResult(false, whyNot, 0));
-        } else if (!questions.add(process, id, way)) {
-            // Its entry is on its way already.
+        String refusalReason = entry.format() > register.format()
+                ? "some nodes run a build that does not support this yet"
+                : entry instanceof Entry.Replace replace ? refusalReason(replace) : null;
+        Consumer<Register.CommandResult> all = answer -> pendingRequests.complete(process, id, answer);
+        if (refusalReason != null) {
+            way.accept(new Register.CommandResult(false, refusalReason, 0));
+        } else if (!pendingRequests.add(process, id, way)) {
+            // The entry of this request has already been proposed.
             return;
         } else if (entry instanceof Entry.RequestBudget request) {
             requests.add(request, all);
-            gather();
+            scheduleGroup();
         } else {
             put(entry, all);
         }
@@ -175,28 +183,29 @@
 
     // ---- requests for budgets ----
 
-    private void gather() {
-        if (!grouping && requests.size() > 0) {
-            grouping = true;
-            long since = leadsSince;
-            ground.after((long) (config.heartbeatMs() * GATHER), () -> {
-                if (since == leadsSince) {
-                    nextGroup();
+    private void scheduleGroup() {
+        if (!groupPending && requests.size() > 0) {
+            groupPending = true;
+            long since = leaderSinceMs;
+            environment.after((long) (config.heartbeatMs() * BATCH_INTERVAL), () -> {
+                if (since == leaderSinceMs) {
+                    proposeGroup();
                 }
             });
         }
     }
 
     /**
-     * One group is on its way through the log at a time. Danger: every node tells what it wants of each
-     * budget, and a claim that waits behind all of that in the log, or finds no room there, comes too late.
+     * Proposes the next group; at most one group is in flight. Every node requests its share of each budget,
+     * and claims queued behind all these requests, or refused for lack of room in the log, would come too
+     * late.
      */
-    private void nextGroup() {
+    private void proposeGroup() {
         List<BudgetRequests.Waiting> group = requests.next();
         boolean more = requests.size() > 0;
         Entry.RequestBudgets all = new Entry.RequestBudgets(
                 group.stream().map(BudgetRequests.Waiting::request).toList());
-        long since = leadsSince;
+        long since = leaderSinceMs;
         if (all.format() <= register.format()) {
             put(all, Register.CommandResults.class, answers -> {
                 for (int i = 0; i < group.size(); i++) {
@@ -204,84 +213,92 @@
                             .then()
                             .accept(answers == null ? null : answers.results().get(i));
                 }
-                grouped(since, more);
+                onGroupDone(since, more);
             });
         } else {
-            // Some node is of a build that does not know groups: one entry each, as it did.
+            // Some node runs a build without group entries: propose one entry per request.
             int[] left = {group.size()};
             group.forEach(one -> put(one.request(), answer -> {
                 one.then().accept(answer);
                 if (--left[0] == 0) {
-                    grouped(since, more);
+                    onGroupDone(since, more);
                 }
             }));
         }
     }
 
-    /** @param more whether a group was full: the next one then need not wait for company */
-    private void grouped(long since, boolean more) {
-        if (since != leadsSince) {
+    /**
+     * @param more whether requests were left over; then the next group is proposed without waiting for the
+     *     interval
+     */
+    private void onGroupDone(long since, boolean more) {
+        if (since != leaderSinceMs) {
             return;
         } else if (more) {
-            nextGroup();
+            proposeGroup();
         } else {
-            grouping = false;
-            gather();
+            groupPending = false;
+            scheduleGroup();
         }
     }
 
     // ---- voters ----
 
-    /** Why a voter can't be replaced so; null where it can. */
-    private String whyNot(Entry.Replace replace) {
+    /** The reason why a voter replacement is refused; null if it is allowed. */
+    private String refusalReason(Entry.Replace replace) {
         Set<String> seats = voter.voterNodes();
         Register.VoterReplacement its = register.replacing();
-        // Danger: let go of when the new one votes already, the old one would vote on for good.
+        // If the replacement in progress were superseded when its new voter already votes, the old voter
+        // would never be removed.
         return its != null && voter.votes(its.coming, its.entry)
-                ? its.coming + " is just taking the place of " + its.leaving + "; ask again when that is done"
+                ? its.coming + " is replacing " + its.leaving + "; retry when that is finished"
                 : !seats.contains(replace.leaving())
                         ? "no voter " + replace.leaving() + " among " + seats
                         : seats.contains(replace.coming()) && !replace.coming().equals(replace.leaving())
-                                ? replace.coming() + " votes already"
+                                ? replace.coming() + " is already a voter"
                                 : null;
     }
 
     // ---- leases ----
 
-    /** @param back the way that the answer goes */
+    /**
+     * Queues a renewal until the leadership is confirmed.
+     *
+     * @param back sends the answer to the node
+     */
     void renew(BiConsumer<String, ObjectNode> back, String from, long life, long at) {
-        if (waiting.size() < WAITING) {
-            waiting.add(new Renewal(back, from, life, at, ground.millis()));
+        if (waitingRenewals.size() < MAX_WAITING_RENEWALS) {
+            waitingRenewals.add(new Renewal(back, from, life, at, environment.millis()));
         }
-        if (!confirming) {
-            confirming = true;
-            ground.after((long) (config.heartbeatMs() * GATHER), this::confirm);
+        if (!confirmationPending) {
+            confirmationPending = true;
+            environment.after((long) (config.heartbeatMs() * BATCH_INTERVAL), this::confirm);
         }
     }
 
     private void confirm() {
-        List<Renewal> batch = new ArrayList<>(waiting);
-        waiting.clear();
-        long since = leadsSince;
-        voter.confirmLeadership(leads -> {
-            if (since != leadsSince) {
+        List<Renewal> batch = new ArrayList<>(waitingRenewals);
+        waitingRenewals.clear();
+        long since = leaderSinceMs;
+        voter.confirmLeadership(confirmed -> {
+            if (since != leaderSinceMs) {
                 return;
             }
-            confirming = false;
-            if (leads) {
-                batch.forEach(this::renewed);
+            confirmationPending = false;
+            if (confirmed) {
+                batch.forEach(this::completeRenewal);
             }
-            if (!waiting.isEmpty()) {
-                confirming = true;
-                ground.after((long) (config.heartbeatMs() * GATHER), this::confirm);
+            if (!waitingRenewals.isEmpty()) {
+                confirmationPending = true;
+                environment.after((long) (config.heartbeatMs() * BATCH_INTERVAL), this::confirm);
             }
         });
     }
 
-    private void renewed(Renewal renewal) {
+    private void completeRenewal(Renewal renewal) {
         Register.Node node = register.nodes().get(renewal.node);
-        if (node != null && closing.getOrDefault(renewal.node, 0L) == node.life) {
-            // Danger: a lease renewed now would outlast the entry that ends this life.
+        if (node != null && closingLives.getOrDefault(renewal.node, 0L) == node.life) {
+            // A lease completeRenewal now would outlast the entry that closes this life.
             return;
         } else if (node != null && node.life == renewal.life) {
             Heard heard = heardAt.get(renewal.node);
@@ -290,13 +307,15 @@
                     new Heard(
                             renewal.life,
                             heard != null && heard.life == renewal.life
-                                    ? Math.max(heard.at, renewal.came)
-                                    : renewal.came));
+                                    ? Math.max(heard.at, renewal.receivedAt)
+                                    : renewal.receivedAt));
         }
         renewal.back.accept(renewal.node, view(renewal.node, renewal.at));
     }
 
-    /** What a node owns, as of the log's last entry. */
+    /**
+     * The view sent to a node: its life, pieces, budget shares and the voters as of the last applied entry.
+     */
     private ObjectNode view(String to, long at) {
         Register.Node node = register.nodes().get(to);
         ObjectNode view = message("view")
--- a/src/main/java/gorserill/cluster/member/Member.java
+++ b/src/main/java/gorserill/cluster/member/Member.java
@@ -29,76 +29,88 @@
 import java.util.stream.Collectors;
 
 /**
- * A node in the cluster. It asks the leader for a life in the register and renews its lease; while the lease
- * holds, it owns what the register says. An act for the fleet is claimed in the log first, so an owner that
- * was stalled and wakes up late does nothing that its successor did or will do, however long the stall.
+ * A member of the cluster. It opens a life in the register through the leader and renews its lease; while the
+ * lease is valid, it owns the pieces that the register assigns to it. Every act on behalf of the fleet is
+ * first claimed in the log, so an owner that was suspended and resumes late repeats nothing that its
+ * successor did or will do, however long the suspension.
  */
 public final class Member {
-    /** Bytes of a message; a longer one is not sent. A node's view of 64 pieces with all their acts fits. */
+    /**
+     * Maximum size of a message; longer ones are not sent. The view of a node with 64 pieces and all their
+     * acts fits.
+     */
     public static final int MAX_MESSAGE_BYTES = 60_000;
-    /** Renewals in a lease; some may be lost. */
-    private static final int RENEWALS = 5;
-    /** What is asked of the leader and waits for its answer. */
-    private static final int ASKING = 512;
-    /** Whom a message by way of another is for, where that one may know better: whoever leads. */
-    private static final String LEADER = "";
-    /** Voters that a node asks for the leader, beside those that its file names. */
-    private static final int SEATS = 9;
+    /** Renewals sent per lease period; some may be lost. */
+    private static final int RENEWALS_PER_LEASE = 5;
+    /** Maximum number of requests waiting for an answer of the leader. */
+    private static final int MAX_PENDING_REQUESTS = 512;
+    /**
+     * Recipient of a relayed message that is meant for the leader, which the relay may know better than the
+     * sender.
+     */
+    private static final String LEADER_RECIPIENT = "";
+    /**
+     * Maximum number of voters learned from views that are asked for the leader, beside the configured ones.
+     */
+    private static final int MAX_LEARNED_VOTERS = 9;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** What came of a claim. */
+    /** The outcome of a claim. */
     public enum ClaimResult {
         GRANTED,
-        /** The act was claimed before, or may be; it must not be done. */
+        /** The act was or may have been claimed before; it must not be done. */
         REFUSED,
-        /** It is not in the log, and won't come into it by this question: it may be asked again later. */
+        /** The claim is not in the log and this request will not put it there; it may be repeated later. */
         RETRY,
-        /** It may be in the log, or may yet; asked again by the same owner, the log grants it if it is. */
+        /**
+         * The claim may be in the log now or later. If the same owner repeats it, the register grants it
+         * again.
+         */
         UNKNOWN
     }
 
-    /** Faults that can be planted, so that checks are seen to find them. */
+    /** Faults that tests and drills inject to verify that the checks detect them. */
     public enum InjectedFault {
-        /** A lease counts from its answer's coming, and three times as long. */
+        /** A lease is counted from the receipt of the answer and lasts three times as long. */
         LEASE_WITHOUT_MARGIN,
-        /** An owner takes its claim for granted. */
+        /** An owner treats its claim as granted without proposing it. */
         CLAIM_SKIPPED,
-        /** An owner goes on after its lease is over. */
+        /** An owner continues after its lease has expired. */
         OWNER_THAT_DOES_NOT_CHECK,
-        /** A new owner goes on under the epoch of the one before. */
+        /** A new owner keeps the epoch of the previous one. */
         EPOCH_NOT_KEPT,
-        /** A voter with an empty store votes as if it remembered. */
+        /** A voter with an empty store votes as if its state were intact. */
         FORGOTTEN_VOTES,
-        /** Permits are given whoever is out. */
+        /** Permits are granted without counting the nodes already out of service. */
         PERMITS_UNCOUNTED,
-        /** Parts of budgets grow whatever the others have. */
+        /** Budget shares grow without regard to the shares of other nodes. */
         PARTS_OVER,
-        /** A node spends its part until the log has that it gave it back. */
+        /** A node spends a returned share until the log has the return. */
         GIVES_BACK_LATE,
-        /** Attempts are made again as often as each job may. */
+        /** Retries are not limited by the retry budget, only by the limit of each job. */
         RETRIES_UNBOUNDED,
-        /** A node spends its part after its lease is over. */
+        /** A node spends its share after its lease has expired. */
         PART_KEPT,
-        /** What can't go straight goes by nobody else. */
+        /** Messages are not relayed when the direct link fails. */
         NO_DETOUR
     }
 
-    private static final class Held {
+    private static final class OwnedPiece {
         final long epoch;
         boolean leaving;
 
-        Held(long epoch) {
+        OwnedPiece(long epoch) {
             this.epoch = epoch;
         }
     }
 
-    private static final class Question {
+    private static final class PendingRequest {
         final Entry entry;
         final Consumer<Register.CommandResult> then;
         final long until;
 
-        Question(Entry entry, Consumer<Register.CommandResult> then, long until) {
+        PendingRequest(Entry entry, Consumer<Register.CommandResult> then, long until) {
             this.entry = entry;
             this.then = then;
             this.until = until;
@@ -106,62 +118,65 @@
     }
 
     private final MemberConfig config;
-    private final ClusterEnvironment ground;
-    private final PieceHandler duty;
-    private final Set<InjectedFault> plants;
+    private final ClusterEnvironment environment;
+    private final PieceHandler pieceHandler;
+    private final Set<InjectedFault> injectedFaults;
     private final Register register;
-    /** Null at a node that does not vote. */
+    /** Null on a node that does not vote. */
     private final Voter voter;
 
     private final LeaderService leaderService;
-    private final Map<String, Held> held = new TreeMap<>();
-    /** The epochs under which this node let go of pieces; it never takes them up again. */
-    private final Map<String, Long> letGo = new HashMap<>();
+    private final Map<String, OwnedPiece> held = new TreeMap<>();
+    /**
+     * The last epoch in which this node released each piece; it never takes the piece again under that epoch.
+     */
+    private final Map<String, Long> releasedEpochs = new HashMap<>();
 
     private final Set<String> yielding = new HashSet<>();
-    private final Map<Long, Question> asking = new TreeMap<>();
+    private final Map<Long, PendingRequest> pending = new TreeMap<>();
     private final Map<String, Integer> dropped = new HashMap<>();
     private long nextId = 1;
-    private int leaderAt;
-    private int ways;
-    private List<String> seats;
+    private int nextVoterIndex;
+    private int relayAttempts;
+    private List<String> knownVoters;
     private Spender spender;
     private String leader;
     private long life;
-    private long asOf = -1;
+    private long viewIndex = -1;
     private long leaseUntil = Long.MIN_VALUE / 2;
-    private long alone = -1;
+    private long withoutLeaderSince = -1;
     private boolean leaves;
     private boolean stopped;
     private boolean joining;
-    private boolean lived;
+    private boolean hadLife;
     private boolean replaced;
     private long boot;
 
     /**
-     * @param shelf where a voter keeps what it must not forget; null at a node that does not vote
-     * @throws MalformedMessageException where the shelf can't be read
+     * @param storage the persistent state of a voter; null on a node that does not vote
+     * @throws MalformedMessageException if the stored state can't be read
      */
     public Member(
             MemberConfig config,
-            ClusterEnvironment ground,
-            StableStorage shelf,
+            ClusterEnvironment environment,
+            StableStorage storage,
             long seed,
-            PieceHandler duty,
-            Set<InjectedFault> plants)
+            PieceHandler pieceHandler,
+            Set<InjectedFault> injectedFaults)
             throws MalformedMessageException {
         this.config = config;
-        this.ground = ground;
-        this.duty = duty;
-        this.plants = plants;
+        this.environment = environment;
+        this.pieceHandler = pieceHandler;
+        this.injectedFaults = injectedFaults;
         boot = config.boot();
-        seats = config.voters();
+        knownVoters = config.voters();
         register = new Register(Arrays.stream(Register.Defect.values())
-                .filter(flaw -> plants.stream().anyMatch(plant -> plant.name().equals(flaw.name())))
+                .filter(flaw ->
+                        injectedFaults.stream().anyMatch(plant -> plant.name().equals(flaw.name())))
                 .collect(Collectors.toSet()));
-        if (config.votes() || shelf != null) {
-            if (plants.contains(InjectedFault.FORGOTTEN_VOTES)) {
-                Voter.injectFounded(shelf);
+        if (config.votes() || storage != null) {
+            if (injectedFaults.contains(InjectedFault.FORGOTTEN_VOTES)) {
+                Voter.injectFounded(storage);
             }
             voter = new Voter(
                     config.cluster(),
@@ -169,34 +184,34 @@
                     config.voters(),
                     config.heartbeatMs(),
                     seed,
-                    ground,
-                    shelf,
+                    environment,
+                    storage,
                     (to, message) -> send(to, LeaderService.message("raft").set("raft", message)),
                     register,
-                    now -> this.leads(now));
-            leaderService = new LeaderService(config, ground, voter, register, this::send);
+                    now -> this.onLeadershipChange(now));
+            leaderService = new LeaderService(config, environment, voter, register, this::send);
         } else {
             voter = null;
             leaderService = null;
         }
     }
 
-    private void leads(boolean now) {
-        leaderService.leads(now);
+    private void onLeadershipChange(boolean now) {
+        leaderService.onLeadershipChange(now);
     }
 
     public void start() {
-        alone = ground.millis();
+        withoutLeaderSince = environment.millis();
         if (voter != null) {
             voter.start();
         }
         if (spender != null) {
             spender.start();
         }
-        renewal();
+        renewLease();
     }
 
-    /** Ends at once, as a crash would; what was promised stays on the shelf. */
+    /** Stops at once, like a crash; the stored state is kept. */
     public void stop() {
         stopped = true;
         if (voter != null) {
@@ -204,14 +219,14 @@
         }
     }
 
-    // ---- what this node is and has ----
+    // ---- state ----
 
-    /** Whether this node owns a piece at this moment, by its own clock. */
+    /** Whether this node owns the piece now, by its own clock. */
     public boolean owns(String piece) {
         return held.containsKey(piece) && inLease();
     }
 
-    /** The epoch under which it does; 0 where it does not. */
+    /** The epoch of the ownership; 0 if this node does not own the piece. */
     public long epoch(String piece) {
         return owns(piece) ? held.get(piece).epoch : 0;
     }
@@ -222,106 +237,118 @@
     }
 
     private boolean inLease() {
-        return ground.millis() < leaseUntil || plants.contains(InjectedFault.OWNER_THAT_DOES_NOT_CHECK);
+        return environment.millis() < leaseUntil || injectedFaults.contains(InjectedFault.OWNER_THAT_DOES_NOT_CHECK);
     }
 
     /**
-     * Since when, by the ground's clock, this node has had no word of a leader with a quorum; -1 where it
-     * has.
+     * The time since which no leader with a quorum has been heard, by the clock of the environment; -1 while
+     * the lease is valid.
      */
     public long withoutLeaderSince() {
-        return ground.millis() < leaseUntil ? -1 : alone;
+        return environment.millis() < leaseUntil ? -1 : withoutLeaderSince;
     }
 
     public long life() {
         return life;
     }
 
-    /** Whether a newer process of this node's name took its place for good. */
+    /** Whether a newer process of the same node name has replaced this one permanently. */
     public boolean replaced() {
         return replaced;
     }
 
-    /** Who leads, as far as this node knows; null where it does not. */
+    /** The node that leads, as far as known; null if unknown. */
     public String leader() {
         return voter != null && voter.leader() != null ? voter.leader() : leader;
     }
 
-    /** The log's entry as of which this node last heard what it owns; -1 where it has not. */
+    /** The log index of the latest view received; -1 before the first one. */
     public long viewIndex() {
-        return asOf;
+        return viewIndex;
     }
 
-    /** What a voter has applied of the log; empty at others, and late anywhere but at the leader. */
+    /**
+     * The register as applied by this voter; empty on other nodes, and possibly behind on voters that do not
+     * lead.
+     */
     public Register register() {
         return register;
     }
 
-    /** Whether this node votes and takes part, or why not; null where it does not vote. */
+    /**
+     * The status of the voter ("leads", "votes") or the reason why it is inactive; null on a node that does
+     * not vote.
+     */
     public String voterStatus() {
         return voter == null
                 ? null
                 : voter.inactiveReason() != null ? voter.inactiveReason() : voter.isLeader() ? "leads" : "votes";
     }
 
-    /** Messages that were not taken, by reason. */
+    /** Counts of discarded messages by reason. */
     public Map<String, Integer> dropped() {
         return dropped;
     }
 
-    // ---- what this node asks ----
+    // ---- requests to the leader ----
 
-    /** Puts one node in another's place among the voters, or one that lost its disk in its own. */
+    /** Replaces one voter by another node, or a voter that lost its disk by itself. */
     public void replace(String leaving, String coming, long wait, Consumer<Register.CommandResult> then) {
         ask(new Entry.Replace(leaving, coming), then, wait);
     }
 
-    /** Asks to be out of service while fewer than {@code most} others are; forced, it is out anyway. */
+    /**
+     * Requests a permit to be out of service while fewer than {@code most} others are; with {@code forced},
+     * the node counts as out of service even if refused.
+     */
     public void permit(int most, boolean forced, long wait, Consumer<Register.CommandResult> then) {
         ask(new Entry.Permit(config.node(), most, forced), then, wait);
     }
 
-    /** A node is back in service, or is not to be waited for. */
+    /** Records that a node is back in service or permanently gone. */
     public void release(String node, long wait, Consumer<Register.CommandResult> then) {
         ask(new Entry.Release(node), then, wait);
     }
 
-    /** What this voter says of itself, for whoever looks for a fault. */
+    /** State for diagnosing faults. */
     public String diagnostics() {
-        return "asking " + asking.size() + " " + (voter == null ? "" : voter.diagnostics());
+        return "pending " + pending.size() + " " + (voter == null ? "" : voter.diagnostics());
     }
 
-    /** The voters, by the names that they vote under, and whether each votes yet; as this voter knows. */
+    /** The names of the voters, each with whether it votes already, as known to this voter. */
     public Map<String, Boolean> voters() {
         return voter == null ? Map.of() : voter.members();
     }
 
-    /** It is to own nothing new, and hands over what it has; or no longer so. */
-    public void setLeaving(boolean so) {
-        leaves = so;
+    /**
+     * Marks this node as leaving, so that it gets no new pieces and hands over the current ones, or withdraws
+     * that.
+     */
+    public void setLeaving(boolean leaving) {
+        leaves = leaving;
         if (life > 0) {
-            ask(new Entry.Leave(config.node(), life, so), answer -> {}, config.leaseMs());
+            ask(new Entry.Leave(config.node(), life, leaving), answer -> {}, config.leaseMs());
         }
     }
 
-    /** Its life is over by its own wish. */
+    /** Closes the life of this node. */
     public void close(Runnable then) {
-        // Danger: what it has goes to others as soon as the log has this, so it is let go of first.
-        long its = life;
+        // Its pieces are reassigned as soon as the entry is committed, so they are released here first.
+        long closedLife = life;
         life = 0;
         joining = true;
         leaseUntil = Long.MIN_VALUE / 2;
-        lose();
-        spend();
-        ask(new Entry.Close(config.node(), its, "left"), answer -> then.run(), config.leaseMs());
+        releaseAll();
+        clearBudgets();
+        ask(new Entry.Close(config.node(), closedLife, "left"), answer -> then.run(), config.leaseMs());
     }
 
-    /** The node's side of the budgets; to be told before the member starts. */
-    public void setSpender(Spender its) {
-        spender = its;
+    /** Sets the consumer of the budget shares; to be called before {@link #start}. */
+    public void setSpender(Spender newSpender) {
+        spender = newSpender;
     }
 
-    /** How the spender sees this member. */
+    /** The interface through which the spender uses this member. */
     public Spender.Link budgetLink() {
         return new Spender.Link() {
             @Override
@@ -331,7 +358,7 @@
 
             @Override
             public long leaseUntil() {
-                return plants.contains(InjectedFault.PART_KEPT) ? Long.MAX_VALUE / 2 : leaseUntil;
+                return injectedFaults.contains(InjectedFault.PART_KEPT) ? Long.MAX_VALUE / 2 : leaseUntil;
             }
 
             @Override
@@ -344,33 +371,34 @@
         };
     }
 
-    private void spend() {
+    private void clearBudgets() {
         if (spender != null) {
             spender.viewed(JSON.createArrayNode());
         }
     }
 
     /**
-     * Wants a piece at a node, or at nobody in particular; the answer comes within so many milliseconds, or
-     * null.
+     * Assigns a piece to a node, or removes the assignment if the name is empty.
+     *
+     * @param wait milliseconds after which {@code then} receives null instead of an answer
      */
     public void transfer(String piece, String to, long wait, Consumer<Register.CommandResult> then) {
         ask(new Entry.Transfer(piece, to), then, wait);
     }
 
     /**
-     * Claims an act. The answer comes once, within the lease, never from within this call. GRANTED is given only
-     * for a claim that the log has under this node's epoch.
+     * Claims an act. The callback runs exactly once, within the lease and never during this call. GRANTED is
+     * reported only for a claim that the log has under the epoch of this node.
      *
-     * @param again an act of unknown end is to be done once more, where that does no harm
+     * @param again whether an act of unknown outcome may be repeated, where that is harmless
      */
     public void claim(String piece, long act, boolean again, Consumer<ClaimResult> then) {
         long epoch = epoch(piece);
-        if (epoch == 0 || held.get(piece).leaving || plants.contains(InjectedFault.CLAIM_SKIPPED)) {
-            ground.after(
+        if (epoch == 0 || held.get(piece).leaving || injectedFaults.contains(InjectedFault.CLAIM_SKIPPED)) {
+            environment.after(
                     0,
                     () -> then.accept(
-                            epoch > 0 && plants.contains(InjectedFault.CLAIM_SKIPPED)
+                            epoch > 0 && injectedFaults.contains(InjectedFault.CLAIM_SKIPPED)
                                     ? ClaimResult.GRANTED
                                     : ClaimResult.RETRY));
             return;
@@ -385,42 +413,46 @@
                                         : answer.reason().equals(Register.ALREADY_CLAIMED)
                                                 ? ClaimResult.REFUSED
                                                 : ClaimResult.RETRY),
-                Math.max(config.heartbeatMs(), leaseUntil - ground.millis()));
+                Math.max(config.heartbeatMs(), leaseUntil - environment.millis()));
     }
 
     /**
-     * A claimed act has ended; told until the log has it. Danger: acts that stay open use up the piece's
-     * room.
+     * Reports the end of a claimed act, and repeats the report until the log has it: acts left open count
+     * against the limit of the piece.
      */
     public void done(String piece, long epoch, long act) {
         ask(
                 new Entry.Done(piece, epoch, act),
                 answer -> {
                     if (answer == null && !stopped) {
-                        ground.after(config.heartbeatMs(), () -> done(piece, epoch, act));
+                        environment.after(config.heartbeatMs(), () -> done(piece, epoch, act));
                     }
                 },
                 config.leaseMs());
     }
 
-    /** @param then the answer, or null where none came for so long */
+    /**
+     * Sends a request to the leader.
+     *
+     * @param then receives the answer, or null if none arrived within {@code wait} milliseconds
+     */
     private void ask(Entry entry, Consumer<Register.CommandResult> then, long wait) {
-        if (asking.size() >= ASKING) {
-            drop("questions beyond " + ASKING);
-            ground.after(0, () -> then.accept(null));
+        if (pending.size() >= MAX_PENDING_REQUESTS) {
+            drop("more than " + MAX_PENDING_REQUESTS + " pending requests");
+            environment.after(0, () -> then.accept(null));
             return;
         }
         long id = nextId++;
-        asking.put(id, new Question(entry, then, ground.millis() + wait));
+        pending.put(id, new PendingRequest(entry, then, environment.millis() + wait));
         ask(id);
     }
 
     private void ask(long id) {
-        Question question = asking.get(id);
+        PendingRequest question = pending.get(id);
         if (question == null || stopped) {
             return;
-        } else if (ground.millis() >= question.until) {
-            asking.remove(id);
+        } else if (environment.millis() >= question.until) {
+            pending.remove(id);
             question.then.accept(null);
             return;
         }
@@ -428,32 +460,33 @@
                 .put("id", id)
                 .put("process", config.process())
                 .put("entry", Register.text(question.entry)));
-        ground.after(Math.max(1, Math.min(2 * config.heartbeatMs(), question.until - ground.millis())), () -> {
-            if (asking.containsKey(id)) {
-                leaderUnheard();
-                ask(id);
-            }
-        });
+        environment.after(
+                Math.max(1, Math.min(2 * config.heartbeatMs(), question.until - environment.millis())), () -> {
+                    if (pending.containsKey(id)) {
+                        tryNextVoter();
+                        ask(id);
+                    }
+                });
     }
 
     // ---- the lease ----
 
-    private void renewal() {
+    private void renewLease() {
         if (stopped) {
             return;
         }
         if (!inLease()) {
-            lose();
+            releaseAll();
         }
         if (life == 0) {
             join();
         } else {
-            sendToLeader(LeaderService.message("renew").put("life", life).put("at", ground.millis()));
+            sendToLeader(LeaderService.message("renew").put("life", life).put("at", environment.millis()));
         }
-        if (ground.millis() >= leaseUntil - config.leaseMs() / 2) {
-            leaderUnheard();
+        if (environment.millis() >= leaseUntil - config.leaseMs() / 2) {
+            tryNextVoter();
         }
-        ground.after(Math.max(1, config.leaseMs() / RENEWALS), this::renewal);
+        environment.after(Math.max(1, config.leaseMs() / RENEWALS_PER_LEASE), this::renewLease);
     }
 
     private void join() {
@@ -466,170 +499,176 @@
                 answer -> {
                     joining = false;
                     if (answer != null && answer.reason().equals(Register.NEWER_PROCESS_KNOWN)) {
-                        // Danger: two processes of one name would take it from each other for ever. One that had a
-                        // life gives way; one that is new and was started by a clock that went back goes on.
-                        replaced = lived;
+                        // Two processes of one node name must not keep replacing each other. A process that
+                        // has had a life gives way; a new one, started while the clock was set back, retries
+                        // with a higher boot number.
+                        replaced = hadLife;
                         boot = answer.value() + 1;
                     } else if (answer != null && answer.accepted()) {
-                        lived = true;
+                        hadLife = true;
                         life = answer.value();
                         if (leaves) {
                             setLeaving(true);
                         }
                         sendToLeader(
-                                LeaderService.message("renew").put("life", life).put("at", ground.millis()));
+                                LeaderService.message("renew").put("life", life).put("at", environment.millis()));
                     }
                 },
                 config.leaseMs());
     }
 
     /**
-     * Nothing is this node's any more, as far as it knows. Danger: taken up again under the same epoch, a
-     * piece would come with acts that this node has done and forgotten; it must come back under another.
+     * Releases all pieces. If a piece were taken again under the same epoch, it would arrive with open acts
+     * that this node may have completed and forgotten, so it must return under a new epoch.
      */
-    private void lose() {
-        for (Map.Entry<String, Held> each : List.copyOf(held.entrySet())) {
+    private void releaseAll() {
+        for (Map.Entry<String, OwnedPiece> each : List.copyOf(held.entrySet())) {
             held.remove(each.getKey());
-            letGo.put(each.getKey(), each.getValue().epoch);
-            duty.lost(each.getKey(), each.getValue().epoch);
+            releasedEpochs.put(each.getKey(), each.getValue().epoch);
+            pieceHandler.lost(each.getKey(), each.getValue().epoch);
         }
     }
 
-    private void yieldOnce(String piece, long epoch) {
+    private void proposeYield(String piece, long epoch) {
         if (yielding.add(piece)) {
             ask(new Entry.Yield(piece, epoch), answer -> yielding.remove(piece), config.leaseMs());
         }
     }
 
-    private void viewed(JsonNode view) {
+    private void applyView(JsonNode view) {
         long at = view.path("at").asLong(-1);
         long of = view.path("as_of").asLong(-1);
-        long its = view.path("life").asLong(0);
-        if (of < asOf || life == 0) {
-            // Danger: an old word, late on its way, would bring back what this node let go of.
+        long viewLife = view.path("life").asLong(0);
+        if (of < viewIndex || life == 0) {
+            // A delayed older view would return pieces that this node has released.
             return;
         }
-        asOf = of;
-        members(view);
+        viewIndex = of;
+        updateVoters(view);
         if (!inLease()) {
-            // Danger: it ran out and nobody noticed; renewed as if it had not, whoever stopped would stay
-            // stopped.
-            lose();
+            // The lease expired before this renewLease: the handlers must be notified of the loss, or work that
+            // stopped at the expiry would not start again.
+            releaseAll();
         }
-        if (its != life) {
-            // Another process of this name took its place, or it was not heard for too long.
+        if (viewLife != life) {
+            // Another process of this node name replaced this one, or the leader did not hear it for too
+            // long.
             life = 0;
             leaseUntil = Long.MIN_VALUE / 2;
-            alone = ground.millis();
-            lose();
-            spend();
+            withoutLeaderSince = environment.millis();
+            releaseAll();
+            clearBudgets();
             return;
         }
-        if (at >= 0 && at <= ground.millis()) {
-            // Danger: counted from the asking, so that it ends here before the leader's patience does there.
-            long until = plants.contains(InjectedFault.LEASE_WITHOUT_MARGIN)
-                    ? ground.millis() + 3 * config.leaseMs()
+        if (at >= 0 && at <= environment.millis()) {
+            // Counted from the sending of the request, so that the lease ends here before the failure timeout
+            // of the leader does.
+            long until = injectedFaults.contains(InjectedFault.LEASE_WITHOUT_MARGIN)
+                    ? environment.millis() + 3 * config.leaseMs()
                     : at + (long) (config.leaseMs() * (1 - config.clockDrift()));
             leaseUntil = Math.max(leaseUntil, until);
-            alone = Math.max(alone, leaseUntil);
+            withoutLeaderSince = Math.max(withoutLeaderSince, leaseUntil);
         }
         if (spender != null) {
             spender.viewed(view.path("budgets"));
         }
         if (inLease()) {
-            hold(view.path("pieces"));
+            updatePieces(view.path("pieces"));
         }
     }
 
-    /** Who votes may change; nodes ask them, and those that the file names, for the leader. */
-    private void members(JsonNode view) {
+    /**
+     * Updates the voters that are asked for the leader: the configured ones and the ones named by the view.
+     */
+    private void updateVoters(JsonNode view) {
         Set<String> members = new TreeSet<>();
         view.path("members").forEach(one -> members.add(one.asText()));
         Set<String> nodes = new LinkedHashSet<>(config.voters());
-        members.stream().limit(SEATS).forEach(one -> nodes.add(Voter.node(one)));
-        if (!seats.equals(List.copyOf(nodes))) {
-            seats = List.copyOf(nodes);
-            leaderAt = 0;
+        members.stream().limit(MAX_LEARNED_VOTERS).forEach(one -> nodes.add(Voter.node(one)));
+        if (!knownVoters.equals(List.copyOf(nodes))) {
+            knownVoters = List.copyOf(nodes);
+            nextVoterIndex = 0;
         }
         if (voter != null) {
             voter.updateMembers(members, view.path("members_since").asLong());
         }
     }
 
-    private void hold(JsonNode pieces) {
+    private void updatePieces(JsonNode pieces) {
         Set<String> named = new HashSet<>();
         for (JsonNode one : pieces) {
             String piece = one.path("piece").asText();
             long epoch = one.path("epoch").asLong();
-            if (epoch <= letGo.getOrDefault(piece, 0L)) {
-                // Danger: it is another's by now, or the log has not heard that this node let go, or never
-                // will.
-                yieldOnce(piece, epoch);
+            if (epoch <= releasedEpochs.getOrDefault(piece, 0L)) {
+                // The piece has been reassigned since, or the log does not have the release yet or never
+                // received it.
+                proposeYield(piece, epoch);
                 continue;
             }
             named.add(piece);
-            Held had = held.get(piece);
-            if (had != null && had.epoch != epoch) {
+            OwnedPiece ownedPiece = held.get(piece);
+            if (ownedPiece != null && ownedPiece.epoch != epoch) {
                 held.remove(piece);
-                duty.lost(piece, had.epoch);
-                had = null;
+                pieceHandler.lost(piece, ownedPiece.epoch);
+                ownedPiece = null;
             }
-            if (had == null) {
-                had = new Held(epoch);
-                held.put(piece, had);
+            if (ownedPiece == null) {
+                ownedPiece = new OwnedPiece(epoch);
+                held.put(piece, ownedPiece);
                 TreeSet<Long> unknown = new TreeSet<>();
                 one.path("unknown").forEach(act -> unknown.add(act.asLong()));
-                duty.owns(piece, epoch, one.path("last").asLong(), unknown);
+                pieceHandler.owns(piece, epoch, one.path("last").asLong(), unknown);
             }
-            if (!one.path("stays").asBoolean(true) && !had.leaving) {
-                had.leaving = true;
-                duty.handOver(piece, epoch, () -> ground.after(0, () -> letGo(piece, epoch)));
+            if (!one.path("stays").asBoolean(true) && !ownedPiece.leaving) {
+                ownedPiece.leaving = true;
+                pieceHandler.handOver(piece, epoch, () -> environment.after(0, () -> releasePiece(piece, epoch)));
             }
         }
         for (String piece : new ArrayList<>(held.keySet())) {
             if (!named.contains(piece)) {
-                duty.lost(piece, held.remove(piece).epoch);
+                pieceHandler.lost(piece, held.remove(piece).epoch);
             }
         }
     }
 
-    private void letGo(String piece, long epoch) {
-        Held had = held.get(piece);
-        if (had != null && had.epoch == epoch && !stopped) {
+    private void releasePiece(String piece, long epoch) {
+        OwnedPiece ownedPiece = held.get(piece);
+        if (ownedPiece != null && ownedPiece.epoch == epoch && !stopped) {
             held.remove(piece);
-            letGo.put(piece, epoch);
-            duty.lost(piece, epoch);
-            yieldOnce(piece, epoch);
+            releasedEpochs.put(piece, epoch);
+            pieceHandler.lost(piece, epoch);
+            proposeYield(piece, epoch);
         }
     }
 
-    // ---- the wire ----
+    // ---- messages ----
 
-    private void leaderUnheard() {
+    private void tryNextVoter() {
         leader = null;
-        leaderAt = (leaderAt + 1) % seats.size();
+        nextVoterIndex = (nextVoterIndex + 1) % knownVoters.size();
     }
 
     /**
-     * To whoever leads, as far as is known; and, where no word has come of it for half a lease, also by way
-     * of another voter. Danger: one link that is cut would otherwise end a life that all the others hear.
+     * Sends to the presumed leader; if no renewal succeeded for half a lease, also relays through another
+     * voter, so that one broken link does not end the life of a node that all the others can reach.
      */
     private void sendToLeader(ObjectNode message) {
         String to = voter != null && voter.leader() != null
                 ? voter.leader()
-                : leader != null ? leader : seats.get(leaderAt);
-        String other = seats.get((leaderAt + 1 + ways++ % seats.size()) % seats.size());
-        if (!plants.contains(InjectedFault.NO_DETOUR)
-                && ground.millis() >= leaseUntil - config.leaseMs() / 2
+                : leader != null ? leader : knownVoters.get(nextVoterIndex);
+        String other =
+                knownVoters.get((nextVoterIndex + 1 + relayAttempts++ % knownVoters.size()) % knownVoters.size());
+        if (!injectedFaults.contains(InjectedFault.NO_DETOUR)
+                && environment.millis() >= leaseUntil - config.leaseMs() / 2
                 && !other.equals(config.node())
                 && !other.equals(to)) {
-            by(other, LEADER, message.deepCopy());
+            relay(other, LEADER_RECIPIENT, message.deepCopy());
         }
         send(to, message);
     }
 
-    /** By way of another member, since the straight way may be cut. */
-    private void by(String way, String to, ObjectNode message) {
+    /** Relays a message through another member, as the direct link may be broken. */
+    private void relay(String way, String to, ObjectNode message) {
         sign(message);
         send(way, LeaderService.message("by").put("to", to).set("message", message));
     }
@@ -642,20 +681,21 @@
         sign(message);
         byte[] bytes = message.toString().getBytes(StandardCharsets.UTF_8);
         if (bytes.length > MAX_MESSAGE_BYTES) {
-            drop("too long to send: " + message.path("kind").asText());
+            drop("message exceeds " + MAX_MESSAGE_BYTES + " bytes: "
+                    + message.path("kind").asText());
         } else if (to.equals(config.node())) {
-            ground.after(0, () -> receive(bytes));
+            environment.after(0, () -> receive(bytes));
         } else {
-            ground.send(to, bytes);
+            environment.send(to, bytes);
         }
     }
 
     private void drop(String reason) {
-        // Danger: reasons come from outside, too; so many kinds are kept apart and no more.
+        // Reasons contain received text, so the number of distinct ones is limited.
         dropped.merge(dropped.size() < 64 ? reason : "others", 1, Integer::sum);
     }
 
-    /** A message came in, from whomever. Gives the name that it comes under; null where it was not taken. */
+    /** Handles a received message. Returns the node name of its sender, or null if it was discarded. */
     public String receive(byte[] bytes) {
         if (stopped) {
             return null;
@@ -668,7 +708,7 @@
                 drop("another cluster's");
             } else {
                 String from = message.path("from").asText();
-                heard(from, message, this::send);
+                handle(from, message, this::send);
                 return from;
             }
         } catch (JsonProcessingException e) {
@@ -679,8 +719,8 @@
         return null;
     }
 
-    /** @param back the way that an answer goes */
-    private void heard(String from, JsonNode message, BiConsumer<String, ObjectNode> back)
+    /** @param back sends an answer to the node */
+    private void handle(String from, JsonNode message, BiConsumer<String, ObjectNode> back)
             throws MalformedMessageException, IOException {
         String kind = message.path("kind").asText();
         switch (kind) {
@@ -690,8 +730,8 @@
                 }
                 voter.receive(from, message.path("raft"));
             }
-            case "ask", "renew" -> serve(from, kind, message, back);
-            case "by" -> passOn(from, message.path("to").asText(), message.path("message"));
+            case "ask", "renew" -> serveAsLeader(from, kind, message, back);
+            case "by" -> forwardRelayed(from, message.path("to").asText(), message.path("message"));
             case "seat" -> {
                 if (voter == null) {
                     throw new MalformedMessageException("seat: this node has no store to vote with");
@@ -699,9 +739,9 @@
                 voter.acceptAssignment(message.path("seat"));
             }
             case "told" -> {
-                // Danger: an answer to the process before this one would pass for an answer to this one.
-                Question question = message.path("process").asText().equals(config.process())
-                        ? asking.remove(message.path("id").asLong())
+                // An answer to a previous process of this node must not complete a request of this one.
+                PendingRequest question = message.path("process").asText().equals(config.process())
+                        ? pending.remove(message.path("id").asLong())
                         : null;
                 if (question != null) {
                     question.then.accept(new Register.CommandResult(
@@ -712,41 +752,42 @@
             }
             case "view" -> {
                 leader = from;
-                viewed(message);
+                applyView(message);
             }
             case "where" -> {
                 String named = message.path("leader").asText("");
                 leader = named.isEmpty() || named.equals(config.node()) ? null : named;
             }
-            default -> throw new MalformedMessageException("kind: '" + kind + "' is none of this build's");
+            default -> throw new MalformedMessageException("kind: '" + kind + "' is not known to this build");
         }
     }
 
     /**
-     * What another member can't send straight. Danger: passed on as it is, it could go round for ever; one
-     * that came by another is for this node, and its answer goes the way it came.
+     * Forwards a message that another member can't send directly. A relayed message is never relayed again,
+     * so it can't circulate; the recipient handles it and sends its answer back through the same relay.
      */
-    private void passOn(String way, String to, JsonNode message) throws MalformedMessageException, IOException {
+    private void forwardRelayed(String way, String to, JsonNode message) throws MalformedMessageException, IOException {
         if (!(message instanceof ObjectNode inner)
                 || inner.path("kind").asText().equals("by")
                 || !inner.path("cluster").asText().equals(config.cluster())) {
             throw new MalformedMessageException("by: holds no message of this cluster");
         }
-        // Danger: who can't reach the leader may not know any more who it is; whoever is on the way does.
-        String its = !to.equals(LEADER) ? to : voter != null && voter.isLeader() ? config.node() : leader();
-        if (its == null) {
+        // A sender that can't reach the leader may not know any more which node leads; the relay may.
+        String recipient =
+                !to.equals(LEADER_RECIPIENT) ? to : voter != null && voter.isLeader() ? config.node() : leader();
+        if (recipient == null) {
             drop("by: no leader is known here");
-        } else if (its.equals(config.node())) {
-            heard(inner.path("from").asText(), inner, (from, answer) -> {
-                by(way, from, answer.deepCopy());
+        } else if (recipient.equals(config.node())) {
+            handle(inner.path("from").asText(), inner, (from, answer) -> {
+                relay(way, from, answer.deepCopy());
                 send(from, answer);
             });
-        } else if (!way.equals(its)) {
-            send(its, LeaderService.message("by").put("to", its).set("message", inner));
+        } else if (!way.equals(recipient)) {
+            send(recipient, LeaderService.message("by").put("to", recipient).set("message", inner));
         }
     }
 
-    private void serve(String from, String kind, JsonNode message, BiConsumer<String, ObjectNode> back)
+    private void serveAsLeader(String from, String kind, JsonNode message, BiConsumer<String, ObjectNode> back)
             throws MalformedMessageException {
         if (voter == null || !voter.isLeader()) {
             back.accept(from, LeaderService.message("where").put("leader", leader()));
@@ -758,14 +799,14 @@
                     message.path("at").asLong());
         } else {
             try {
-                leaderService.asked(
+                leaderService.handleRequest(
                         back,
                         from,
                         message.path("process").asText(),
                         message.path("id").asLong(),
                         Register.entry(message.path("entry").asText()));
             } catch (JsonProcessingException e) {
-                throw new MalformedMessageException("entry: is none of this build's");
+                throw new MalformedMessageException("entry: is not known to this build");
             }
         }
     }
--- a/src/main/java/gorserill/cluster/member/MemberConfig.java
+++ b/src/main/java/gorserill/cluster/member/MemberConfig.java
@@ -3,18 +3,19 @@
 import java.util.List;
 
 /**
- * What a member is told at its start.
+ * The configuration of a member.
  *
- * @param cluster the cluster's name; members of another are not heard
- * @param node this node's name
- * @param process tells this process from any other of the node
- * @param boot rises from process to process of a node, as the time of its start does
- * @param build of the program
- * @param voters the nodes that keep the log: 3 or 5, or 1 to try things out
- * @param pieces of work that this node can own
- * @param heartbeatMs milliseconds between a leader's signs to the other voters
- * @param leaseMs milliseconds that a node may go on as owner without a word of the leader's
- * @param clockDrift parts of a second by which two clocks may part in a second; beliefs, not acts, rest on it
+ * @param cluster the name of the cluster; messages of other clusters are discarded
+ * @param node the name of this node
+ * @param process identifies this process among all processes of the node
+ * @param boot increases from process to process of a node, as its start time does
+ * @param build the build of the program
+ * @param voters the nodes that keep the log: 3 or 5, or 1 for trials
+ * @param pieces the pieces of work that this node can own
+ * @param heartbeatMs heartbeat period of the leader in milliseconds
+ * @param leaseMs milliseconds for which a node may act as owner without a renewal by the leader
+ * @param clockDrift maximum relative drift between two clocks; lease checks depend on it, but not the
+ *     uniqueness of acts
  */
 public record MemberConfig(
         String cluster,
@@ -27,12 +28,15 @@
         long heartbeatMs,
         long leaseMs,
         double clockDrift) {
-    /** Whether this node keeps the log. */
+    /** Whether this node is a configured voter. */
     public boolean votes() {
         return voters.contains(node);
     }
 
-    /** How long a leader waits for a word of a node before its life is over: longer than the node's lease. */
+    /**
+     * Milliseconds without a renewal after which the leader closes the life of a node; longer than the lease
+     * of the node.
+     */
     public long failureTimeoutMs() {
         return (long) (leaseMs * (1 + 2 * clockDrift)) + heartbeatMs;
     }
--- a/src/main/java/gorserill/cluster/member/PendingRequests.java
+++ b/src/main/java/gorserill/cluster/member/PendingRequests.java
@@ -8,33 +8,36 @@
 import java.util.function.Consumer;
 
 /**
- * Questions whose entries are on their way through the log. One that comes again meanwhile waits for the same
- * entry. Danger: put into the log again each time, questions that are asked again because the log is slow
- * would make it slower, until nothing else passes.
+ * Requests whose entries have been proposed but not yet applied. A repeated request waits for the same entry.
+ * If each repetition were proposed again, requests repeated because the log is slow would slow it further
+ * until nothing else is committed.
  */
 final class PendingRequests {
-    /** Ways by which one question is answered: straight, and by others that passed it on. */
-    private static final int WAYS = 4;
+    /** Maximum number of routes over which one request is answered: direct and through relays. */
+    private static final int MAX_ROUTES = 4;
 
-    private record Question(String process, long id) {}
+    private record RequestKey(String process, long id) {}
 
-    private final Map<Question, List<Consumer<Register.CommandResult>>> open = new HashMap<>();
+    private final Map<RequestKey, List<Consumer<Register.CommandResult>>> open = new HashMap<>();
 
-    /** A question came, to be answered this way; gives whether it is the first, whose entry is to be made. */
-    boolean add(String process, long id, Consumer<Register.CommandResult> way) {
-        List<Consumer<Register.CommandResult>> ways =
-                open.computeIfAbsent(new Question(process, id), question -> new ArrayList<>());
-        if (ways.size() < WAYS) {
-            ways.add(way);
+    /**
+     * Adds a request with a route for its answer; returns whether it is the first one, whose entry must be
+     * proposed.
+     */
+    boolean add(String process, long id, Consumer<Register.CommandResult> route) {
+        List<Consumer<Register.CommandResult>> routes =
+                open.computeIfAbsent(new RequestKey(process, id), key -> new ArrayList<>());
+        if (routes.size() < MAX_ROUTES) {
+            routes.add(route);
         }
-        return ways.size() == 1;
+        return routes.size() == 1;
     }
 
-    /** @param answer null where none is known; the question is answered when it is asked again */
+    /** @param answer null if it is not known; the request is then answered when it is repeated */
     void complete(String process, long id, Register.CommandResult answer) {
-        List<Consumer<Register.CommandResult>> ways = open.remove(new Question(process, id));
-        if (ways != null && answer != null) {
-            ways.forEach(way -> way.accept(answer));
+        List<Consumer<Register.CommandResult>> routes = open.remove(new RequestKey(process, id));
+        if (routes != null && answer != null) {
+            routes.forEach(route -> route.accept(answer));
         }
     }
 
--- a/src/main/java/gorserill/cluster/member/PieceHandler.java
+++ b/src/main/java/gorserill/cluster/member/PieceHandler.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 import java.util.SortedSet;
 
-/** What is done with a piece that this node owns; called on the member's thread. */
+/** Callbacks about the pieces that this node owns; called on the thread of the member. */
 public interface PieceHandler {
-    /** The duty of each piece by its name. */
+    /** Dispatches to the handler of each piece by its name. */
     static PieceHandler of(Map<String, PieceHandler> byPiece) {
         return new PieceHandler() {
             @Override
@@ -26,16 +26,19 @@
     }
 
     /**
-     * The piece is this node's from here on.
+     * This node has become the owner of the piece.
      *
-     * @param last the highest act that was claimed by any owner
-     * @param unknown acts that were claimed under a former epoch and whose end is not known
+     * @param last the highest act number claimed by any owner
+     * @param unknown acts claimed under an earlier epoch whose outcome is not known
      */
     void owns(String piece, long epoch, long last, SortedSet<Long> unknown);
 
-    /** The piece is to go to another node: nothing new is to be claimed; {@code then} once all has ended. */
+    /**
+     * The piece is to move to another node: no new act may be claimed, and {@code then} is to be run once all
+     * current ones have ended.
+     */
     void handOver(String piece, long epoch, Runnable then);
 
-    /** The piece is this node's no more, or it may be another's: nothing is to be done for it. */
+    /** This node no longer owns the piece, or can't be sure that it does: all work for it must stop. */
     void lost(String piece, long epoch);
 }
--- a/src/main/java/gorserill/cluster/member/package-info.java
+++ b/src/main/java/gorserill/cluster/member/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A node's part in the cluster: its life in the register, its lease, what it owns, and the acts that it
- * claims; at a voter also the desk that serves the others while it leads.
+ * Membership of a node: its life in the register, its lease, its pieces and its claims; on a voter also the
+ * service for the other members while it leads.
  */
 package gorserill.cluster.member;
--- a/src/main/java/gorserill/cluster/ownership/Entry.java
+++ b/src/main/java/gorserill/cluster/ownership/Entry.java
@@ -23,15 +23,17 @@
     @JsonSubTypes.Type(value = Entry.Done.class, name = "done")
 })
 public sealed interface Entry {
-    /** The newest format of entries that this build knows. */
+    /** The newest entry format that this build supports. */
     int FORMAT = 3;
 
-    /** The format that brought this kind of entry. Danger: a voter that does not know it leaves it out. */
+    /**
+     * The format that introduced this kind of entry. A voter that does not support it would skip the entry.
+     */
     default int format() {
         return 1;
     }
 
-    /** A kind of entry of the second format. */
+    /** An entry introduced with format 2. */
     sealed interface FormatTwo extends Entry permits Replace, Replaced, Permit, Release, RequestBudget, ReclaimShare {
         @Override
         default int format() {
@@ -40,54 +42,59 @@
     }
 
     /**
-     * A process of a node comes, and can own these pieces; the index of the entry becomes its life's number.
+     * A process of a node opens a life and names the pieces that it can own; the index of the entry becomes
+     * the number of the life.
      *
-     * @param process tells this process of the node from any other; the same one gets the same life again
-     * @param boot rises from process to process. Danger: a word of one that is gone may come late
-     * @param build of the program
-     * @param format the newest that it knows; 0 of builds that did not say
+     * @param process identifies the process; the same process gets the same life again
+     * @param boot increases from process to process, so that a delayed entry of an earlier process is refused
+     * @param build the build of the program
+     * @param format the newest format that the build supports; 0 for builds that did not state it
      */
     record Open(String node, String process, long boot, String build, List<String> pieces, int format)
             implements Entry {}
 
-    /** A node's life is over: it left, or was not heard for longer than its lease. */
+    /** Closes the life of a node that left, or was not heard for longer than its lease. */
     record Close(String node, long life, String why) implements Entry {}
 
-    /** A node is to own nothing new and to hand over what it has; or no longer so. */
+    /**
+     * Marks a node as leaving, so that it gets no new pieces and hands over the current ones, or withdraws
+     * that.
+     */
     record Leave(String node, long life, boolean leaves) implements Entry {}
 
-    /** An owner lets go of a piece. */
+    /** An owner gives up a piece. */
     record Yield(String piece, long epoch) implements Entry {}
 
-    /** An operator wants a piece at a node; an empty name takes that back. */
+    /** An operator assigns a piece to a node; an empty name removes the assignment. */
     record Transfer(String piece, String to) implements Entry {}
 
-    /** An operator wants one node to vote in another's place; both may be one, whose disk is lost. */
+    /** An operator replaces a voter by another node, or by itself if it lost its disk. */
     record Replace(String leaving, String coming) implements FormatTwo {}
 
-    /** That was done; the number is the entry's that asked for it. */
+    /** A voter replacement is complete; {@code entry} is the index of the entry that requested it. */
     record Replaced(long entry) implements FormatTwo {}
 
     /**
-     * A node asks to be out of service, while so many others may be.
+     * A node requests a permit to be out of service.
      *
-     * @param forced it is out, whatever the answer: others have to wait
+     * @param most the permit is refused if this many other nodes are out of service
+     * @param forced the node goes out of service even if refused, and others have to wait
      */
     record Permit(String node, int most, boolean forced) implements FormatTwo {}
 
     /**
-     * A node says what it wants of a budget and what it keeps, in thousandths.
+     * A node reports how much of a budget it wants and how much it keeps, in thousandths.
      *
-     * @param turn rises from word to word of a life
+     * @param turn increases with each report of a life
      */
     record RequestBudget(String node, long life, String budget, int wants, int keeps, long turn) implements FormatTwo {}
 
     /**
-     * What several nodes say, in this order: the leader puts it into the log as one entry, so that their
-     * number does not decide how long others wait.
+     * The budget requests of several nodes in order. The leader proposes them as one entry, so that the
+     * number of nodes does not determine how long other entries wait.
      */
     record RequestBudgets(List<RequestBudget> each) implements Entry {
-        /** Danger: it may come from outside; nothing half-made may reach the register. */
+        /** Guards the register against a received entry without a list. */
         public RequestBudgets {
             each = each == null ? List.of() : List.copyOf(each);
         }
@@ -98,19 +105,19 @@
         }
     }
 
-    /** What a life that was replaced had of the budgets may go to others. */
+    /** Makes the budget shares of a replaced life available to other nodes. */
     record ReclaimShare(String ghost) implements FormatTwo {}
 
     /** A node is back in service, or is not to be waited for. */
     record Release(String node) implements FormatTwo {}
 
     /**
-     * An owner is about to do an act. Acts of a piece have rising numbers.
+     * An owner claims an act before doing it. The act numbers of a piece increase.
      *
-     * @param again an act whose end is not known is to be done once more; only where that does no harm
+     * @param again repeats an act of unknown outcome; only where that is harmless
      */
     record Claim(String piece, long epoch, long act, boolean again) implements Entry {}
 
-    /** A claimed act has ended, whoever owns the piece now. */
+    /** A claimed act has ended, regardless of which node owns the piece now. */
     record Done(String piece, long epoch, long act) implements Entry {}
 }
--- a/src/main/java/gorserill/cluster/ownership/Register.java
+++ b/src/main/java/gorserill/cluster/ownership/Register.java
@@ -17,55 +17,62 @@
 import java.util.zip.CRC32C;
 
 /**
- * The register of nodes, pieces and acts. The same entries in the same order give the same register at every
- * voter. What it promises rests on that order alone, on no time:
+ * The replicated state machine: nodes, pieces of work and claimed acts. Applying the same entries in the same
+ * order yields the same state at every voter. Its guarantees depend on that order alone and not on time:
  *
  * <ul>
- * <li>a piece has one owner at a time, and each owner an epoch of its own, higher than any before;
- * <li>an act is claimed by the owner of the present epoch or not at all, and once, or once more where it was
- * said that this does no harm;
- * <li>what was claimed and has no known end when its owner's life is over stays so ({@code UNKNOWN}) until
- * its end is told, and is never given to another as if it were new.
+ * <li>a piece has at most one owner at a time, and each ownership has its own epoch, higher than all earlier
+ * ones;
+ * <li>an act can be claimed only by the owner under the current epoch, and only once, or once more if the
+ * claim states that a repetition is harmless;
+ * <li>an act that was claimed and whose end was not reported when its owner's life ended is kept as {@code
+ * unknown} until its end is reported; it is never handed out as a new one.
  * </ul>
  */
 public final class Register implements Voter.ReplicatedState {
     /**
-     * Acts of a piece that are claimed and not done, at the most. Danger: unbounded, a stuck owner fills it.
+     * Maximum number of claimed acts of a piece without a reported end. Without a limit, an owner that hangs
+     * would fill the register.
      */
     public static final int MAX_OPEN_ACTS = 32;
 
-    private static final int PIECES = 1_000;
-    private static final int NAMES = 1_000;
-    /** Why an act may not be claimed: it was before. */
+    private static final int MAX_PIECES = 1_000;
+    private static final int MAX_NAMES = 1_000;
+    /** Refusal of a claim: the act was claimed before. */
     public static final String ALREADY_CLAIMED = "that act was claimed";
-    /** Why a life is over whose node said nothing for longer than its lease. */
+    /** Reason for closing a life: the leader did not hear the node for longer than its lease. */
     public static final String NOT_HEARD = "not heard";
-    /** Why a life is over whose node came back as another process. */
+    /** Reason for closing a life: a newer process of the node opened another one. */
     public static final String REPLACED = "replaced";
-    /** Why a node is out of service that asked first. */
+    /** Reason for being out of service: the node was granted a permit. */
     public static final String WITH_PERMIT = "permit";
-    /** Why a process may not open a life: there is a newer one of its name. */
+    /** Refusal to open a life: a newer process of that name is registered. */
     public static final String NEWER_PROCESS_KNOWN = "a newer process of that name";
-    /** Danger: a later build's fields must not keep this one from reading what it knows. */
+    /** Ignores unknown fields, so that this build can read data written by a later one. */
     private static final ObjectMapper JSON = new ObjectMapper()
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
             .setVisibility(PropertyAccessor.FIELD, JsonAutoDetect.Visibility.ANY);
 
-    /** What an entry's author is told. */
+    /**
+     * The result of applying an entry, returned to its proposer.
+     *
+     * @param reason why the entry was refused; empty if it was accepted
+     * @param value depends on the entry, such as the life or the number of the act
+     */
     public record CommandResult(boolean accepted, String reason, long value) {
-        static CommandResult accepted(long number) {
-            return new CommandResult(true, "", number);
+        static CommandResult accepted(long value) {
+            return new CommandResult(true, "", value);
         }
 
-        static CommandResult refused(String why) {
-            return new CommandResult(false, why, 0);
+        static CommandResult refused(String reason) {
+            return new CommandResult(false, reason, 0);
         }
     }
 
-    /** What the authors of an entry of several are told, in its order. */
+    /** The results of a group entry, in the order of its elements. */
     public record CommandResults(List<CommandResult> results) {}
 
-    /** A node's present life. */
+    /** The current life of a node. */
     public static final class Node {
         public long life;
         public String process;
@@ -78,19 +85,19 @@
     /** A piece of work. */
     public static final class Piece {
         public long epoch;
-        /** Empty where nobody owns it. */
+        /** Empty if the piece has no owner. */
         public String owner = "";
-        /** Whom it is to go to, where an operator said so; else empty. */
+        /** The node that an operator assigned the piece to; empty if none. */
         public String wanted = "";
-        /** The highest act that was claimed. */
+        /** The highest act number claimed so far. */
         public long last;
-        /** Acts that are claimed and whose end was not told, with the epoch of their claim. */
+        /** Claimed acts without a reported end, each with the epoch of its claim. */
         public TreeMap<Long, Long> open = new TreeMap<>();
-        /** Those of them whose owner's life was over first. */
+        /** The open acts whose owner lost the piece before reporting their end. */
         public TreeSet<Long> unknown = new TreeSet<>();
     }
 
-    /** The newest process of a name, alive or not. */
+    /** The latest process that used a node name, alive or not. */
     public static final class LatestProcess {
         public String process;
         public long boot;
@@ -102,13 +109,13 @@
         public TreeMap<String, Piece> pieces = new TreeMap<>();
         public VoterReplacement replacing;
         public TreeMap<String, String> out = new TreeMap<>();
-        /** The newest format of any entry so far. */
+        /** The highest format of any entry applied so far. */
         public int format = 1;
 
         public BudgetShares parts = new BudgetShares();
     }
 
-    /** One node is being put in another's place among the voters, as this entry of the log says. */
+    /** A voter replacement in progress; {@code entry} is the index of the log entry that requested it. */
     public static final class VoterReplacement {
         public String leaving;
         public String coming;
@@ -116,20 +123,20 @@
     }
 
     private State state = new State();
-    /** Faults that can be planted, so that checks are seen to find them. */
+    /** Defects that tests inject to verify that the checks detect them. */
     public enum Defect {
-        /** A new owner goes on under the epoch of the one before. */
+        /** A new owner keeps the epoch of the previous one. */
         EPOCH_NOT_KEPT,
-        /** Permits are given whoever is out. */
+        /** Permits are granted without counting the nodes already out of service. */
         PERMITS_UNCOUNTED,
-        /** Parts of budgets grow whatever the others have. */
+        /** Budget shares grow without regard to the shares of other nodes. */
         PARTS_OVER
     }
 
-    private final Set<Defect> flaws;
+    private final Set<Defect> defects;
 
-    public Register(Set<Defect> flaws) {
-        this.flaws = flaws;
+    public Register(Set<Defect> defects) {
+        this.defects = defects;
     }
 
     public Map<String, Node> nodes() {
@@ -140,7 +147,10 @@
         return state.pieces;
     }
 
-    /** The newest format that all nodes know; entries of a later one are not to be put into the log yet. */
+    /**
+     * The highest format that all registered nodes support; entries of a later format must not be proposed
+     * yet.
+     */
     public int format() {
         return state.nodes.values().stream()
                 .mapToInt(node -> Math.max(1, node.format))
@@ -148,22 +158,22 @@
                 .orElse(Entry.FORMAT);
     }
 
-    /** What is under way among the voters; null for nothing. */
+    /** The voter replacement in progress, or null. */
     public VoterReplacement replacing() {
         return state.replacing;
     }
 
-    /** Who has which part of the budgets. */
+    /** The shares that the nodes hold of the budgets. */
     public BudgetShares budgetShares() {
         return state.parts;
     }
 
-    /** The nodes that are out of service, and why: by permit, or gone unheard. */
+    /** The nodes out of service with the reason: a permit, or silence for longer than the lease. */
     public Map<String, String> outOfService() {
         return state.out;
     }
 
-    /** The text of an entry, as the log keeps it. */
+    /** Serializes an entry to JSON as stored in the log. */
     public static String text(Entry entry) {
         try {
             return JSON.writerFor(Entry.class).writeValueAsString(entry);
@@ -172,7 +182,11 @@
         }
     }
 
-    /** @throws JsonProcessingException where it is no entry of this build */
+    /**
+     * Parses an entry of the log.
+     *
+     * @throws JsonProcessingException if this build does not know the entry
+     */
     public static Entry entry(String text) throws JsonProcessingException {
         return JSON.readValue(text, Entry.class);
     }
@@ -183,7 +197,7 @@
         try {
             entry = entry(text);
         } catch (JsonProcessingException e) {
-            // An entry of a later build: every voter of this build leaves it out alike.
+            // An entry of a later build. All voters of this build skip it, so their states stay equal.
             return CommandResult.refused("no entry of this build");
         }
         state.format = Math.max(state.format, entry.format());
@@ -194,13 +208,13 @@
         } else if (entry instanceof Entry.Leave leave) {
             Node node = state.nodes.get(leave.node());
             if (node == null || node.life != leave.life()) {
-                return CommandResult.refused("that life is over");
+                return CommandResult.refused("that life is closed");
             }
             node.leaves = leave.leaves();
             assign();
             return CommandResult.accepted(index);
         } else if (entry instanceof Entry.Yield yield) {
-            return letGo(yield);
+            return yieldPiece(yield);
         } else if (entry instanceof Entry.Transfer transfer) {
             return transfer(transfer);
         } else if (entry instanceof Entry.Claim claim) {
@@ -208,9 +222,11 @@
         } else if (entry instanceof Entry.Replace replace) {
             return replace(index, replace);
         } else if (entry instanceof Entry.Replaced replaced) {
-            boolean its = state.replacing != null && state.replacing.entry == replaced.entry();
-            state.replacing = its ? null : state.replacing;
-            return its ? CommandResult.accepted(replaced.entry()) : CommandResult.refused("that is not under way");
+            boolean matches = state.replacing != null && state.replacing.entry == replaced.entry();
+            state.replacing = matches ? null : state.replacing;
+            return matches
+                    ? CommandResult.accepted(replaced.entry())
+                    : CommandResult.refused("that voter replacement is not in progress");
         } else if (entry instanceof Entry.Permit permit) {
             return permit(permit);
         } else if (entry instanceof Entry.RequestBudget request) {
@@ -218,10 +234,10 @@
         } else if (entry instanceof Entry.RequestBudgets all) {
             return new CommandResults(
                     all.each().stream().map(this::requestBudget).toList());
-        } else if (entry instanceof Entry.ReclaimShare bury) {
-            return state.parts.bury(bury.ghost())
+        } else if (entry instanceof Entry.ReclaimShare reclaim) {
+            return state.parts.bury(reclaim.ghost())
                     ? CommandResult.accepted(index)
-                    : CommandResult.refused("it is buried");
+                    : CommandResult.refused("that share was already reclaimed");
         } else if (entry instanceof Entry.Release release) {
             return state.out.remove(release.node()) != null
                     ? CommandResult.accepted(0)
@@ -232,7 +248,7 @@
 
     private CommandResult open(long index, Entry.Open open) {
         if (Math.max(1, open.format()) < state.format) {
-            return CommandResult.refused("the cluster has gone on to what a later build knows");
+            return CommandResult.refused("the log has entries that only a later build knows");
         }
         LatestProcess newest = state.newest.get(open.node());
         boolean same = newest != null && newest.process.equals(open.process());
@@ -245,7 +261,7 @@
         } else if (node != null) {
             close(open.node(), node.life, REPLACED);
         }
-        remember(open);
+        recordProcess(open);
         Node fresh = new Node();
         fresh.life = index;
         fresh.process = open.process();
@@ -255,7 +271,7 @@
         state.nodes.put(open.node(), fresh);
         state.out.remove(open.node(), NOT_HEARD);
         for (String piece : open.pieces()) {
-            if (state.pieces.size() < PIECES) {
+            if (state.pieces.size() < MAX_PIECES) {
                 state.pieces.computeIfAbsent(piece, p -> new Piece());
             }
         }
@@ -263,13 +279,13 @@
         return CommandResult.accepted(index);
     }
 
-    /** Names that are gone are forgotten one by one when there are too many. */
-    private void remember(Entry.Open open) {
+    /** Records the latest process of a name; above the limit, forgets one name that has no live node. */
+    private void recordProcess(Entry.Open open) {
         LatestProcess newest = new LatestProcess();
         newest.process = open.process();
         newest.boot = open.boot();
         state.newest.put(open.node(), newest);
-        if (state.newest.size() > NAMES) {
+        if (state.newest.size() > MAX_NAMES) {
             state.newest.keySet().stream()
                     .filter(name -> !state.nodes.containsKey(name) && !name.equals(open.node()))
                     .findFirst()
@@ -280,11 +296,11 @@
     private CommandResult close(String name, long life, String why) {
         Node node = state.nodes.get(name);
         if (node == null || node.life != life) {
-            return CommandResult.refused("that life is over");
+            return CommandResult.refused("that life is closed");
         }
         state.nodes.remove(name);
         state.parts.over(name, life, why.equals(REPLACED));
-        if (why.equals(NOT_HEARD) && state.out.size() < NAMES) {
+        if (why.equals(NOT_HEARD) && state.out.size() < MAX_NAMES) {
             state.out.putIfAbsent(name, NOT_HEARD);
         }
         for (Piece piece : state.pieces.values()) {
@@ -297,10 +313,10 @@
         return CommandResult.accepted(life);
     }
 
-    private CommandResult letGo(Entry.Yield yield) {
+    private CommandResult yieldPiece(Entry.Yield yield) {
         Piece piece = state.pieces.get(yield.piece());
         if (piece == null || piece.epoch != yield.epoch() || piece.owner.isEmpty()) {
-            return CommandResult.refused("that epoch is over");
+            return CommandResult.refused("that epoch is not current");
         }
         piece.owner = "";
         assign();
@@ -311,8 +327,8 @@
         Piece piece = state.pieces.get(transfer.piece());
         if (piece == null) {
             return CommandResult.refused("no piece of that name");
-        } else if (!transfer.to().isEmpty() && !able(transfer.to(), transfer.piece())) {
-            return CommandResult.refused("no such node that can own it");
+        } else if (!transfer.to().isEmpty() && !eligible(transfer.to(), transfer.piece())) {
+            return CommandResult.refused("no such node that is eligible to own that piece");
         }
         piece.wanted = transfer.to();
         assign();
@@ -321,7 +337,7 @@
 
     private CommandResult replace(long index, Entry.Replace replace) {
         if (!state.nodes.containsKey(replace.coming())) {
-            return CommandResult.refused("no node " + replace.coming() + " is there to vote");
+            return CommandResult.refused("no live node " + replace.coming() + " to become a voter");
         }
         state.replacing = new VoterReplacement();
         state.replacing.leaving = replace.leaving();
@@ -330,27 +346,27 @@
         return CommandResult.accepted(index);
     }
 
-    /** Those that went unheard are out of service, too, until they are back or said to be gone for good. */
+    /** Nodes closed because they were not heard count as out of service until they return or are released. */
     private CommandResult permit(Entry.Permit permit) {
         List<String> others = state.out.keySet().stream()
                 .filter(n -> !n.equals(permit.node()))
                 .toList();
-        boolean room = others.size() < permit.most() || flaws.contains(Defect.PERMITS_UNCOUNTED);
-        if ((room || permit.forced()) && (others.size() < NAMES || state.out.containsKey(permit.node()))) {
-            state.out.put(permit.node(), room ? WITH_PERMIT : "without permit");
+        boolean permitted = others.size() < permit.most() || defects.contains(Defect.PERMITS_UNCOUNTED);
+        if ((permitted || permit.forced()) && (others.size() < MAX_NAMES || state.out.containsKey(permit.node()))) {
+            state.out.put(permit.node(), permitted ? WITH_PERMIT : "without permit");
         }
-        return room
+        return permitted
                 ? CommandResult.accepted(others.size() + 1)
-                : CommandResult.refused("out of service already: "
+                : CommandResult.refused("already out of service: "
                         + String.join(" ", others.subList(0, Math.min(9, others.size()))));
     }
 
     private CommandResult claim(Entry.Claim claim) {
         Piece piece = state.pieces.get(claim.piece());
         if (piece == null || piece.epoch != claim.epoch() || piece.owner.isEmpty()) {
-            return CommandResult.refused("that epoch is over");
+            return CommandResult.refused("that epoch is not current");
         } else if (Long.valueOf(claim.epoch()).equals(piece.open.get(claim.act()))) {
-            // The owner asks again, since it did not hear the answer.
+            // The owner repeats the claim because it did not receive the answer.
             return CommandResult.accepted(claim.act());
         } else if (claim.again() && piece.unknown.remove(claim.act())) {
             piece.open.put(claim.act(), claim.epoch());
@@ -358,7 +374,7 @@
         } else if (claim.act() <= piece.last) {
             return CommandResult.refused(ALREADY_CLAIMED);
         } else if (piece.open.size() >= MAX_OPEN_ACTS) {
-            return CommandResult.refused("too many acts are open");
+            return CommandResult.refused("more than " + MAX_OPEN_ACTS + " acts of that piece are open");
         }
         piece.last = claim.act();
         piece.open.put(claim.act(), claim.epoch());
@@ -368,14 +384,14 @@
     private CommandResult requestBudget(Entry.RequestBudget request) {
         Node node = state.nodes.get(request.node());
         return node == null || node.life != request.life()
-                ? CommandResult.refused("that life is over")
+                ? CommandResult.refused("that life is closed")
                 : CommandResult.accepted(state.parts.say(
                         request.node(),
                         request.budget(),
                         request.wants(),
                         request.keeps(),
                         request.turn(),
-                        flaws.contains(Defect.PARTS_OVER)));
+                        defects.contains(Defect.PARTS_OVER)));
     }
 
     private CommandResult done(Entry.Done done) {
@@ -388,25 +404,28 @@
         return CommandResult.accepted(done.act());
     }
 
-    // ---- who should own what ----
+    // ---- assignment of pieces ----
 
-    private boolean able(String name, String piece) {
+    private boolean eligible(String name, String piece) {
         Node node = state.nodes.get(name);
         return node != null && !node.leaves && node.pieces.contains(piece);
     }
 
-    /** Who is to own a piece; null where nobody can. */
+    /**
+     * The node that should own a piece: the one chosen by an operator if it is eligible, else the one of the
+     * highest weight; null if no node is eligible.
+     */
     public String preferredOwner(String name) {
         Piece piece = state.pieces.get(name);
         if (piece == null) {
             return null;
-        } else if (able(piece.wanted, name)) {
+        } else if (eligible(piece.wanted, name)) {
             return piece.wanted;
         }
         String best = null;
         long most = 0;
         for (String node : state.nodes.keySet()) {
-            if (able(node, name)) {
+            if (eligible(node, name)) {
                 long weight = weight(node, name);
                 if (best == null || weight > most) {
                     best = node;
@@ -417,7 +436,10 @@
         return best;
     }
 
-    /** Highest random weight (Thaler and Ravishankar, 1998): who comes or goes moves its own part alone. */
+    /**
+     * Rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998): a node that joins or leaves
+     * moves only its own pieces.
+     */
     private static long weight(String node, String piece) {
         CRC32C hash = new CRC32C();
         hash.update((node + "\n" + piece).getBytes(StandardCharsets.UTF_8));
@@ -426,15 +448,18 @@
         return (z ^ z >>> 27) >>> 1;
     }
 
-    /** Pieces that nobody owns go to their heirs; an owner that is not the heir lets go by itself. */
+    /**
+     * Assigns pieces without an owner to their preferred owners. An owner that is no longer the preferred one
+     * yields by itself.
+     */
     private void assign() {
         for (Map.Entry<String, Piece> each : state.pieces.entrySet()) {
             Piece piece = each.getValue();
             String heir = piece.owner.isEmpty() ? preferredOwner(each.getKey()) : null;
             if (heir != null) {
                 piece.owner = heir;
-                piece.epoch += flaws.contains(Defect.EPOCH_NOT_KEPT) && piece.epoch > 0 ? 0 : 1;
-                // What the one before claimed and did not end is for its successor to know as unknown.
+                piece.epoch += defects.contains(Defect.EPOCH_NOT_KEPT) && piece.epoch > 0 ? 0 : 1;
+                // The new owner must treat acts that the previous one left open as unknown.
                 piece.unknown.addAll(piece.open.keySet());
             }
         }
@@ -454,7 +479,7 @@
         try {
             state = snapshot == null ? new State() : JSON.readValue(snapshot, State.class);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("the snapshot can't be read: " + e.getOriginalMessage(), e);
+            throw new IllegalStateException("can't parse the snapshot: " + e.getOriginalMessage(), e);
         }
     }
 }
--- a/src/main/java/gorserill/cluster/ownership/package-info.java
+++ b/src/main/java/gorserill/cluster/ownership/package-info.java
@@ -1,2 +1,4 @@
-/** Who owns which piece of the fleet's work, as the replicated log has it; free of I/O, clock and chance. */
+/**
+ * The ownership of the pieces of work as recorded in the replicated log; free of I/O, clock and randomness.
+ */
 package gorserill.cluster.ownership;
--- a/src/main/java/gorserill/cluster/package-info.java
+++ b/src/main/java/gorserill/cluster/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What the nodes of a deployment do together. Decisions here are free of I/O and of any clock but the one
- * that a {@link gorserill.cluster.ClusterEnvironment} gives them, so the same code runs in the program and in virtual
+ * Coordination between the nodes of a deployment. The code is free of I/O and of any clock other than that of
+ * its {@link gorserill.cluster.ClusterEnvironment}, so that it runs unchanged in the program and in virtual
  * time.
  */
 package gorserill.cluster;
--- a/src/test/java/gorserill/cluster/member/BudgetRequestsTest.java
+++ b/src/test/java/gorserill/cluster/member/BudgetRequestsTest.java
@@ -38,7 +38,7 @@
         for (int i = 0; i < 300; i++) {
             requests.add(request("node-" + i, i + 1, 1), answer -> {});
         }
-        requests.add(request("long".repeat(BudgetRequests.GROUP), 1, 1), answer -> {});
+        requests.add(request("long".repeat(BudgetRequests.MAX_GROUP_CHARS), 1, 1), answer -> {});
         int taken = 0;
         int groups = 0;
         while (requests.size() > 0) {
@@ -46,7 +46,7 @@
             int characters = group.stream()
                     .mapToInt(one -> Register.text(one.request()).length())
                     .sum();
-            assertTrue(characters <= BudgetRequests.GROUP || group.size() == 1, characters + " characters");
+            assertTrue(characters <= BudgetRequests.MAX_GROUP_CHARS || group.size() == 1, characters + " characters");
             taken += group.size();
             groups++;
         }
@@ -58,12 +58,12 @@
     public void whatIsBeyondTheRoomIsToBeAskedAgain() {
         BudgetRequests requests = new BudgetRequests();
         List<String> unanswered = new ArrayList<>();
-        for (int i = 0; i <= BudgetRequests.WAITING; i++) {
+        for (int i = 0; i <= BudgetRequests.MAX_WAITING; i++) {
             String node = "node-" + i;
             requests.add(request(node, 1, 1), answer -> unanswered.add(node));
         }
         requests.add(request("node-0", 1, 2), answer -> {});
-        assertEquals(unanswered, List.of("node-" + BudgetRequests.WAITING, "node-0"));
+        assertEquals(unanswered, List.of("node-" + BudgetRequests.MAX_WAITING, "node-0"));
     }
 
     @Test
