--- a/src/main/java/gorserill/cluster/consensus/Bootstrap.java
+++ b/src/main/java/gorserill/cluster/consensus/Bootstrap.java
@@ -32,7 +32,7 @@
 
     private final String name;
     private final Collection<String> voters;
-    private final long beat;
+    private final long heartbeatMs;
     private final ClusterEnvironment environment;
     private final StableStorage storage;
     private final BiConsumer<String, JsonNode> send;
@@ -49,7 +49,7 @@
     Bootstrap(
             String name,
             Collection<String> voters,
-            long beat,
+            long heartbeatMs,
             ClusterEnvironment environment,
             StableStorage storage,
             BiConsumer<String, JsonNode> send,
@@ -57,7 +57,7 @@
             java.util.function.Consumer<IOException> failed) {
         this.name = name;
         this.voters = voters;
-        this.beat = beat;
+        this.heartbeatMs = heartbeatMs;
         this.environment = environment;
         this.storage = storage;
         this.send = send;
@@ -100,7 +100,7 @@
                 send.accept(voter, message(true));
             }
         });
-        environment.after(beat, this::queryVoters);
+        environment.after(heartbeatMs, this::queryVoters);
     }
 
     private ObjectNode message(boolean asks) {
--- a/src/main/java/gorserill/cluster/consensus/Voter.java
+++ b/src/main/java/gorserill/cluster/consensus/Voter.java
@@ -239,10 +239,11 @@
     public Map<String, Boolean> members() {
         Map<String, Boolean> members = new TreeMap<>();
         if (raft != null) {
-            RaftGroupMembers its = raft.getCommittedMembers();
-            its.getMembers()
+            RaftGroupMembers committed = raft.getCommittedMembers();
+            committed
+                    .getMembers()
                     .forEach(one -> members.put(
-                            RaftCodec.name(one), its.getVotingMembers().contains(one)));
+                            RaftCodec.name(one), committed.getVotingMembers().contains(one)));
         }
         return members;
     }
@@ -319,12 +320,12 @@
     }
 
     private void promote(String newVoter) {
-        RaftNode its = raft;
+        RaftNode raftNode = raft;
         changePending = true;
-        its.getReport()
+        raftNode.getReport()
                 .whenComplete((report, fault) -> environment.after(0, () -> {
                     changePending = false;
-                    if (fault == null && raft == its && !stopped) {
+                    if (fault == null && raft == raftNode && !stopped) {
                         var log = report.getResult().getLog();
                         if (log.getFollowerMatchIndices().getOrDefault(new VoterEndpoint(newVoter), 0L)
                                 >= log.getCommitIndex() - MAX_ENTRIES_PER_MESSAGE) {
@@ -336,8 +337,8 @@
 
     private void changeMembership(String who, MembershipChangeMode how) {
         changePending = true;
-        RaftNode its = raft;
-        its.changeMembership(new VoterEndpoint(who), how, membersSince())
+        RaftNode raftNode = raft;
+        raftNode.changeMembership(new VoterEndpoint(who), how, membersSince())
                 .whenComplete((result, fault) -> environment.after(0, () -> {
                     changePending = false;
                 }));
@@ -529,9 +530,9 @@
             rejectedIndex = failure.getExpectedNextIndex();
             if (rejections >= MAX_REPEATED_REJECTIONS) {
                 rejections = 0;
-                RaftInstance its = raftInstance;
+                RaftInstance instance = raftInstance;
                 environment.after(0, () -> {
-                    if (!its.isObsolete()) {
+                    if (!instance.isObsolete()) {
                         rebuild();
                     }
                 });
--- a/src/main/java/gorserill/cluster/member/LeaderService.java
+++ b/src/main/java/gorserill/cluster/member/LeaderService.java
@@ -32,7 +32,7 @@
     private final Voter voter;
     private final Register register;
     private final BiConsumer<String, ObjectNode> send;
-    private final Map<String, Heard> heardAt = new HashMap<>();
+    private final Map<String, LastHeard> heardAt = new HashMap<>();
     /**
      * Lives proposed for closing, by node. They are not renewed any more, whether or not the entry is
      * committed.
@@ -49,7 +49,7 @@
     private final Map<String, Long> ghostsSeenAt = new HashMap<>();
 
     /** The time at which a life was last heard. */
-    private record Heard(long life, long at) {}
+    private record LastHeard(long life, long at) {}
 
     private record Renewal(BiConsumer<String, ObjectNode> back, String node, long life, long at, long receivedAt) {}
 
@@ -94,18 +94,18 @@
         long delayMs = Math.max(0, environment.millis() - lastCheckMs - 2 * config.heartbeatMs());
         lastCheckMs = environment.millis();
         if (delayMs > 0) {
-            heardAt.replaceAll((node, heard) -> new Heard(heard.life, heard.at + delayMs));
+            heardAt.replaceAll((node, heard) -> new LastHeard(heard.life, heard.at + delayMs));
         }
         for (Map.Entry<String, Register.Node> each :
                 List.copyOf(register.nodes().entrySet())) {
             long life = each.getValue().life;
-            Heard heard = heardAt.get(each.getKey());
+            LastHeard heard = heardAt.get(each.getKey());
             if (heard == null || heard.life != life) {
                 // A new life starts its own timeout; with the last-heard time of the previous life it would
                 // be closed at once.
-                heardAt.put(each.getKey(), new Heard(life, environment.millis()));
+                heardAt.put(each.getKey(), new LastHeard(life, environment.millis()));
             } else if (environment.millis() - heard.at > config.failureTimeoutMs()) {
-                heardAt.put(each.getKey(), new Heard(life, environment.millis()));
+                heardAt.put(each.getKey(), new LastHeard(life, environment.millis()));
                 closingLives.put(each.getKey(), life);
                 put(new Entry.Close(each.getKey(), life, Register.NOT_HEARD), answer -> {});
             }
@@ -120,14 +120,14 @@
                 put(new Entry.ReclaimShare(ghost), answer -> {});
             }
         });
-        Register.VoterReplacement its = register.replacing();
-        if (its != null
+        Register.VoterReplacement replacement = register.replacing();
+        if (replacement != null
                 && voter.replace(
-                        its.leaving,
-                        its.coming,
-                        its.entry,
-                        seat -> send.accept(its.coming, message("seat").set("seat", seat)))) {
-            put(new Entry.Replaced(its.entry), answer -> {});
+                        replacement.leaving,
+                        replacement.coming,
+                        replacement.entry,
+                        seat -> send.accept(replacement.coming, message("seat").set("seat", seat)))) {
+            put(new Entry.Replaced(replacement.entry), answer -> {});
         }
         environment.after(config.heartbeatMs(), () -> checkNodes(since));
     }
@@ -156,7 +156,7 @@
     }
 
     void handleRequest(BiConsumer<String, ObjectNode> back, String from, String process, long id, Entry entry) {
-        Consumer<Register.CommandResult> way = answer -> back.accept(
+        Consumer<Register.CommandResult> route = answer -> back.accept(
                 from,
                 message("told")
                         .put("process", process)
@@ -169,8 +169,8 @@
                 : entry instanceof Entry.Replace replace ? refusalReason(replace) : null;
         Consumer<Register.CommandResult> all = answer -> pendingRequests.complete(process, id, answer);
         if (refusalReason != null) {
-            way.accept(new Register.CommandResult(false, refusalReason, 0));
-        } else if (!pendingRequests.add(process, id, way)) {
+            route.accept(new Register.CommandResult(false, refusalReason, 0));
+        } else if (!pendingRequests.add(process, id, route)) {
             // The entry of this request has already been proposed.
             return;
         } else if (entry instanceof Entry.RequestBudget request) {
@@ -247,11 +247,11 @@
     /** The reason why a voter replacement is refused; null if it is allowed. */
     private String refusalReason(Entry.Replace replace) {
         Set<String> seats = voter.voterNodes();
-        Register.VoterReplacement its = register.replacing();
+        Register.VoterReplacement replacement = register.replacing();
         // If the replacement in progress were superseded when its new voter already votes, the old voter
         // would never be removed.
-        return its != null && voter.votes(its.coming, its.entry)
-                ? its.coming + " is replacing " + its.leaving + "; retry when that is finished"
+        return replacement != null && voter.votes(replacement.coming, replacement.entry)
+                ? replacement.coming + " is replacing " + replacement.leaving + "; retry when that is finished"
                 : !seats.contains(replace.leaving())
                         ? "no voter " + replace.leaving() + " among " + seats
                         : seats.contains(replace.coming()) && !replace.coming().equals(replace.leaving())
@@ -301,10 +301,10 @@
             // A lease completeRenewal now would outlast the entry that closes this life.
             return;
         } else if (node != null && node.life == renewal.life) {
-            Heard heard = heardAt.get(renewal.node);
+            LastHeard heard = heardAt.get(renewal.node);
             heardAt.put(
                     renewal.node,
-                    new Heard(
+                    new LastHeard(
                             renewal.life,
                             heard != null && heard.life == renewal.life
                                     ? Math.max(heard.at, renewal.receivedAt)
@@ -325,8 +325,8 @@
         view.put("members_since", voter.membersSince());
         voter.members().keySet().forEach(view.putArray("members")::add);
         ArrayNode budgets = view.putArray("budgets");
-        register.budgetShares().parts.forEach((name, its) -> {
-            BudgetShares.Share part = its.get(to);
+        register.budgetShares().parts.forEach((name, shares) -> {
+            BudgetShares.Share part = shares.get(to);
             if (part != null) {
                 budgets.addObject()
                         .put("budget", name)
--- a/src/test/java/gorserill/cluster/BadInputTest.java
+++ b/src/test/java/gorserill/cluster/BadInputTest.java
@@ -25,14 +25,15 @@
 import org.testng.annotations.Test;
 
 /**
- * What comes from the wire or the disk and can't be worked with: nothing breaks, nothing grows, it is told.
+ * Malformed input from the network or the disk is discarded and counted or reported with its place, and does
+ * not grow memory or storage without bound.
  */
 public class BadInputTest {
-    /** A voter alone; what it sends is kept. */
-    private static final class Alone implements ClusterEnvironment, StableStorage, PieceHandler {
+    /** A member and voter without peers; sent messages are recorded. */
+    private static final class IsolatedVoter implements ClusterEnvironment, StableStorage, PieceHandler {
         final TreeMap<String, String> texts = new TreeMap<>();
         final List<byte[]> sent = new ArrayList<>();
-        final Deque<Runnable> due = new ArrayDeque<>();
+        final Deque<Runnable> tasks = new ArrayDeque<>();
         long now = 1_000;
 
         Member member() throws MalformedMessageException {
@@ -54,7 +55,7 @@
 
         @Override
         public void after(long millis, Runnable then) {
-            due.add(then);
+            tasks.add(then);
         }
 
         @Override
@@ -91,24 +92,24 @@
     }
 
     @Test
-    public void datagramsOfAnyBytesAreDroppedAndCounted() throws MalformedMessageException {
-        Alone alone = new Alone();
-        Member member = alone.member();
+    public void corruptedDatagramsAreDroppedAndCounted() throws MalformedMessageException {
+        IsolatedVoter isolated = new IsolatedVoter();
+        Member member = isolated.member();
         SplittableRandom random = new SplittableRandom(3);
-        List<String> real = new ArrayList<>();
-        alone.sent.forEach(bytes -> real.add(new String(bytes, StandardCharsets.UTF_8)));
-        real.add("{\"kind\":\"raft\",\"raft\":{\"from\":\"n1\",\"term\":1,\"is\":\"append\"},"
+        List<String> samples = new ArrayList<>();
+        isolated.sent.forEach(bytes -> samples.add(new String(bytes, StandardCharsets.UTF_8)));
+        samples.add("{\"kind\":\"raft\",\"raft\":{\"from\":\"n1\",\"term\":1,\"is\":\"append\"},"
                 + "\"cluster\":\"c\",\"from\":\"n1\"}");
-        real.add("{\"kind\":\"view\",\"at\":1,\"as_of\":9,\"life\":3,\"pieces\":[{}],"
+        samples.add("{\"kind\":\"view\",\"at\":1,\"as_of\":9,\"life\":3,\"pieces\":[{}],"
                 + "\"cluster\":\"c\",\"from\":\"n1\"}");
-        real.add("{\"kind\":\"by\",\"to\":\"\",\"message\":{\"kind\":\"renew\",\"cluster\":\"c\"},"
+        samples.add("{\"kind\":\"by\",\"to\":\"\",\"message\":{\"kind\":\"renew\",\"cluster\":\"c\"},"
                 + "\"cluster\":\"c\",\"from\":\"n1\"}");
-        real.add("{\"kind\":\"seat\",\"seat\":{\"voter\":\"n0#3\",\"first\":[],\"since\":4},"
+        samples.add("{\"kind\":\"seat\",\"seat\":{\"voter\":\"n0#3\",\"first\":[],\"since\":4},"
                 + "\"cluster\":\"c\",\"from\":\"n1\"}");
-        real.add("{\"kind\":\"ask\",\"id\":1,\"entry\":\"{}\",\"cluster\":\"c\",\"from\":\"n1\"}");
+        samples.add("{\"kind\":\"ask\",\"id\":1,\"entry\":\"{}\",\"cluster\":\"c\",\"from\":\"n1\"}");
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = real.get(random.nextInt(real.size())).getBytes(StandardCharsets.UTF_8);
-            for (int spoilt = random.nextInt(6); spoilt > 0; spoilt--) {
+            byte[] bytes = samples.get(random.nextInt(samples.size())).getBytes(StandardCharsets.UTF_8);
+            for (int corrupted = random.nextInt(6); corrupted > 0; corrupted--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
             }
             member.receive(java.util.Arrays.copyOf(bytes, random.nextInt(bytes.length + 1)));
@@ -118,47 +119,47 @@
                 "" + member.dropped().size());
         assertTrue(
                 member.dropped().size() <= 65,
-                "reasons are bounded: " + member.dropped().size());
+                "number of distinct reasons: " + member.dropped().size());
         assertEquals(member.owned(), List.of());
         member.receive("{\"kind\":\"view\",\"cluster\":\"other\",\"from\":\"n1\"}".getBytes(StandardCharsets.UTF_8));
         assertTrue(member.dropped().get("another cluster's") > 0);
     }
 
     @Test
-    public void aStoreOverItsBoundFailsAtAFlushAndNamesTheBound() throws IOException {
-        Path file = Files.createTempDirectory("shelf").resolve("voter.mv");
-        try (DiskStorage shelf = new DiskStorage(file, 64 << 10)) {
+    public void flushBeyondTheSizeLimitFailsAndNamesTheSetting() throws IOException {
+        Path file = Files.createTempDirectory("storage").resolve("voter.mv");
+        try (DiskStorage storage = new DiskStorage(file, 64 << 10)) {
             IOException full = expectThrows(IOException.class, () -> {
                 for (int i = 0; i < 1_000; i++) {
-                    shelf.put("log/" + i, Integer.toString(i).repeat(500));
-                    shelf.flush();
+                    storage.put("log/" + i, Integer.toString(i).repeat(500));
+                    storage.flush();
                 }
             });
             assertTrue(full.getMessage().contains("store_kb"), full.getMessage());
-            assertTrue(Files.size(file) < 256 << 10, "it stays near its bound: " + Files.size(file));
+            assertTrue(Files.size(file) < 256 << 10, "file size exceeds the limit by far: " + Files.size(file));
         }
     }
 
     @Test
-    public void aStoreThatCanNotBeReadNamesItsFileAndKey() throws IOException {
-        Path file = Files.createTempDirectory("shelf").resolve("voter.mv");
-        DiskStorage shelf = new DiskStorage(file, 1 << 20);
-        shelf.put("term", "{\"term\":3}");
-        shelf.flush();
-        shelf.put("term", "lost");
-        shelf.close();
+    public void unreadableStoreIsReportedWithFileAndKey() throws IOException {
+        Path file = Files.createTempDirectory("storage").resolve("voter.mv");
+        DiskStorage storage = new DiskStorage(file, 1 << 20);
+        storage.put("term", "{\"term\":3}");
+        storage.flush();
+        storage.put("term", "lost");
+        storage.close();
         DiskStorage again = new DiskStorage(file, 1 << 20);
-        assertEquals(again.all().get("term"), "{\"term\":3}", "what was flushed is there, and nothing more");
+        assertEquals(again.all().get("term"), "{\"term\":3}", "only flushed changes are kept");
         IOException used = expectThrows(IOException.class, () -> new DiskStorage(file, 1 << 20));
         assertTrue(used.getMessage().contains(file.toString()), used.getMessage());
         again.close();
-        Files.writeString(file, "this is no store at all, but a text that is long enough to be looked at");
-        IOException spoilt = expectThrows(IOException.class, () -> new DiskStorage(file, 1 << 20));
-        assertTrue(spoilt.getMessage().contains(file.toString()), spoilt.getMessage());
-        Alone alone = new Alone();
-        alone.texts.put("endpoint", "{\"name\":\"n0\",\"voting\":true}");
-        alone.texts.put("members", "{\"index\":0,");
-        MalformedMessageException bad = expectThrows(MalformedMessageException.class, alone::member);
+        Files.writeString(file, "this is not a store file, but a text that is long enough to be parsed as one");
+        IOException corrupted = expectThrows(IOException.class, () -> new DiskStorage(file, 1 << 20));
+        assertTrue(corrupted.getMessage().contains(file.toString()), corrupted.getMessage());
+        IsolatedVoter isolated = new IsolatedVoter();
+        isolated.texts.put("endpoint", "{\"name\":\"n0\",\"voting\":true}");
+        isolated.texts.put("members", "{\"index\":0,");
+        MalformedMessageException bad = expectThrows(MalformedMessageException.class, isolated::member);
         assertTrue(bad.getMessage().startsWith("members:"), bad.getMessage());
     }
 }
--- a/src/test/java/gorserill/cluster/BudgetSharesProperties.java
+++ b/src/test/java/gorserill/cluster/BudgetSharesProperties.java
@@ -13,7 +13,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Parts of budgets under words, lives and ghosts drawn from seeds, and what is spent of them. */
+/**
+ * Budget shares under random requests, life changes and shares of replaced processes, and the spending of the
+ * shares.
+ */
 public class BudgetSharesProperties {
     @DataProvider
     public Object[][] seeds() {
@@ -23,7 +26,7 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void theSumIsNeverMoreThanTheWhole(long seed) {
+    public void sharesNeverExceedTheWhole(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         BudgetShares parts = new BudgetShares();
         long[] turns = new long[6];
@@ -32,39 +35,44 @@
             String node = "n" + n;
             switch (random.nextInt(12)) {
                 case 0 -> {
-                    boolean mayGoOn = random.nextBoolean();
-                    int had = has(parts, node);
+                    boolean mayStillSpend = random.nextBoolean();
+                    int previousShare = shareOf(parts, node);
                     int free = parts.free("b");
-                    parts.over(node, i, mayGoOn);
+                    parts.over(node, i, mayStillSpend);
                     turns[n] = 0;
-                    assertTrue(!mayGoOn || parts.free("b") <= free, "a ghost's part is nobody's yet");
-                    assertEquals(parts.ghosts.containsKey(node + "@" + i), mayGoOn && had > 0);
+                    assertTrue(
+                            !mayStillSpend || parts.free("b") <= free,
+                            "the share of a replaced process is not free yet");
+                    assertEquals(parts.ghosts.containsKey(node + "@" + i), mayStillSpend && previousShare > 0);
                 }
                 case 1 -> parts.ghosts.keySet().stream().findFirst().ifPresent(parts::bury);
                 case 2 -> {
-                    int had = has(parts, node);
+                    int previousShare = shareOf(parts, node);
                     parts.say(node, "b", 0, 0, Math.max(0, turns[n] - random.nextInt(3)), false);
-                    assertEquals(has(parts, node), had, "an older word, late on its way, changes nothing");
+                    assertEquals(shareOf(parts, node), previousShare, "a delayed older request changes nothing");
                 }
                 default -> {
-                    int had = has(parts, node);
-                    int keeps = random.nextBoolean() ? had : random.nextInt(BudgetShares.WHOLE + 1);
+                    int previousShare = shareOf(parts, node);
+                    int keeps = random.nextBoolean() ? previousShare : random.nextInt(BudgetShares.WHOLE + 1);
                     parts.say(node, "b", random.nextInt(BudgetShares.WHOLE + 1), keeps, ++turns[n], false);
                 }
             }
             assertTrue(parts.free("b") >= 0, "at step " + i);
         }
-        settle(parts, turns);
-        parts.due("b").forEach((node, due) -> assertEquals(has(parts, node), (int) due, node));
+        settleShares(parts, turns);
+        parts.due("b").forEach((node, due) -> assertEquals(shareOf(parts, node), (int) due, node));
     }
 
-    private static int has(BudgetShares parts, String node) {
+    private static int shareOf(BudgetShares parts, String node) {
         var its = parts.parts.get("b");
         return its == null || !its.containsKey(node) ? 0 : its.get(node).has;
     }
 
-    /** All are buried, and each node keeps no more than its due; then nothing that is wanted lies idle. */
-    private static void settle(BudgetShares parts, long[] turns) {
+    /**
+     * Reclaims all shares of replaced processes and lets each node keep no more than its due share;
+     * afterwards no wanted share is unused.
+     */
+    private static void settleShares(BudgetShares parts, long[] turns) {
         List.copyOf(parts.ghosts.keySet()).forEach(parts::bury);
         for (int round = 0; round < 2; round++) {
             for (String node : List.copyOf(parts.parts.get("b").keySet())) {
@@ -81,10 +89,11 @@
     }
 
     /**
-     * In any time no more enters than the rate, the burst and a job each, though a part goes round and round.
+     * In any period, the admitted jobs stay within the rate, the burst and one job per node, although the
+     * share moves between nodes.
      */
     @Test(dataProvider = "seeds")
-    public void aPartThatGoesRoundIsSpentOnce(long seed) {
+    public void movingShareIsSpentOnce(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Budget budget = new Budget("b", 0, -1, 50, 20, 0, 3, true);
         long[] now = {1};
@@ -95,7 +104,7 @@
         int holder = 0;
         double level = 0;
         long at = 0;
-        int in = 0;
+        int admitted = 0;
         for (; now[0] < 60_000_000; now[0] += 500 + random.nextInt(3_000)) {
             if (random.nextInt(200) == 0) {
                 doors[holder].allows(List.of(new Allowance(budget, 0, 0)));
@@ -106,50 +115,53 @@
             if (doors[random.nextInt(3)].enter(now[0], 0, -1) == 0) {
                 level = Math.max(0, level - (now[0] - at) / 1e6 * 50) + 1;
                 at = now[0];
-                in++;
+                admitted++;
                 assertTrue(level <= 20 + 3, "level " + level);
             }
         }
-        assertTrue(in > 500, "and much of it is spent: " + in);
+        assertTrue(admitted > 500, "too few jobs were admitted: " + admitted);
     }
 
-    /** However first tries and wishes come, further tries are that part of first ones at the most. */
+    /**
+     * For any sequence of first attempts and retries, the retries stay within the configured fraction of
+     * first attempts.
+     */
     @Test(dataProvider = "seeds")
-    public void furtherTriesAreAPartOfFirstOnes(long seed) {
+    public void retriesAreAFractionOfFirstAttempts(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         double part = random.nextDouble();
         Retries retries = new Retries(part, 1 + random.nextInt(20));
         int first = 0;
-        int again = 0;
+        int retried = 0;
         for (int i = 0; i < 10_000; i++) {
             if (random.nextInt(3) == 0) {
                 retries.first();
                 first++;
             } else {
-                again += retries.again() ? 1 : 0;
+                retried += retries.again() ? 1 : 0;
             }
-            assertTrue(again <= part * first + 1e-6, again + " after " + first);
+            assertTrue(retried <= part * first + 1e-6, retried + " after " + first);
         }
-        assertTrue(again > 0.4 * part * first - 25, "and about as many: " + again);
+        assertTrue(retried > 0.4 * part * first - 25, "too few retries: " + retried);
     }
 
     @Test
-    public void aNewProcessBeginsWithNothingAndOneAloneHasItsFloor() {
+    public void newProcessStartsEmptyAndIsolatedOneGetsItsFloor() {
         Budget budget = new Budget("b", 2, -1, 100, 1_000, 30, 3, true);
         long[] now = {1};
         Door door = new Door(List.of(budget), () -> now[0] / 1_000, (name, demand) -> {});
         assertEquals(door.enter(now[0], 1, -1), 0, "jobs of other classes are not counted");
         assertTrue(door.enter(now[0], 2, -1) > 90_000, "a tenth of 100 a second is its floor: a job in 100 ms");
-        int in = 0;
+        int admitted = 0;
         for (; now[0] < 10_000_000; now[0] += 10_000) {
-            in += door.enter(now[0], 2, -1) == 0 ? 1 : 0;
+            admitted += door.enter(now[0], 2, -1) == 0 ? 1 : 0;
         }
-        assertTrue(in >= 98 && in <= 101, "floor of ten seconds: " + in);
+        assertTrue(admitted >= 98 && admitted <= 101, "floor of ten seconds: " + admitted);
         door.allows(List.of(new Allowance(budget, BudgetShares.WHOLE, now[0] / 1_000 + 1_000)));
         long before = now[0];
-        for (in = 0; now[0] < before + 5_000_000; now[0] += 2_000) {
-            in += door.enter(now[0], 2, -1) == 0 ? 1 : 0;
+        for (admitted = 0; now[0] < before + 5_000_000; now[0] += 2_000) {
+            admitted += door.enter(now[0], 2, -1) == 0 ? 1 : 0;
         }
-        assertTrue(in >= 115 && in <= 125, "a second with 80 a second, then four with 10: " + in);
+        assertTrue(admitted >= 115 && admitted <= 125, "a second with 80 a second, then four with 10: " + admitted);
     }
 }
--- a/src/test/java/gorserill/cluster/LabTest.java
+++ b/src/test/java/gorserill/cluster/LabTest.java
@@ -23,24 +23,27 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Members, log and owners in virtual time: the rules hold for every seed, and a planted fault is found. */
+/**
+ * Members, log and ownership simulated in virtual time: the rules hold for every seed, and each injected
+ * fault is detected.
+ */
 public class LabTest {
-    private static final Set<Fault> ALL = EnumSet.allOf(Fault.class);
-    private static final int PIECES_OF_THE_LAB = 4;
+    private static final Set<Fault> ALL_FAULTS = EnumSet.allOf(Fault.class);
+    private static final int LAB_PIECES = 4;
 
-    private static List<Outcome> runs(int nodes, long seeds, Set<Fault> faults, Set<InjectedFault> plants) {
+    private static List<Outcome> runs(int nodes, long seeds, Set<Fault> faults, Set<InjectedFault> injectedFaults) {
         return LongStream.range(0, seeds)
                 .parallel()
-                .mapToObj(seed -> Lab.run(new Plan(nodes, Math.min(3, nodes), 30, seed, faults, plants)))
+                .mapToObj(seed -> Lab.run(new Plan(nodes, Math.min(3, nodes), 30, seed, faults, injectedFaults)))
                 .toList();
     }
 
     @DataProvider
     public Object[][] clusters() {
         return new Object[][] {
-            {3, 250, ALL},
-            {5, 60, ALL},
-            {9, 20, ALL},
+            {3, 250, ALL_FAULTS},
+            {5, 60, ALL_FAULTS},
+            {9, 20, ALL_FAULTS},
             {1, 20, EnumSet.of(Fault.CRASH, Fault.STALL)},
             {3, 60, EnumSet.of(Fault.FORGET, Fault.CUT, Fault.CRASH)},
             {6, 60, EnumSet.of(Fault.FORGET, Fault.MOVE, Fault.CRASH, Fault.CUT)},
@@ -49,7 +52,7 @@
     }
 
     @Test(dataProvider = "clusters")
-    public void noSeedBreaksARule(int nodes, int seeds, Set<Fault> faults) {
+    public void rulesHoldForEverySeed(int nodes, int seeds, Set<Fault> faults) {
         List<Outcome> outcomes = runs(nodes, seeds, faults, Set.of());
         for (int seed = 0; seed < seeds; seed++) {
             Outcome outcome = outcomes.get(seed);
@@ -57,23 +60,23 @@
                     outcome.violation(),
                     "seed " + seed + ": " + outcome.violation() + "\n" + String.join("\n", outcome.history()));
         }
-        assertTrue(outcomes.stream().mapToInt(Outcome::acts).sum() > 100 * seeds, "acts were done");
+        assertTrue(outcomes.stream().mapToInt(Outcome::acts).sum() > 100 * seeds, "too few acts were done");
     }
 
     /**
-     * Every node of a large fleet tells what it wants of its budgets, ten times a second if it likes; claims
-     * pass all the same.
+     * Every node of a large fleet reports its budget demand, up to ten times a second; claims must not be
+     * delayed by these reports.
      */
     @Test
-    public void claimsAreNotHeldUpByTheBudgetsOfTwoHundredNodes() {
+    public void claimsAreNotDelayedByBudgetRequestsOfTwoHundredNodes() {
         Outcome outcome =
                 Lab.run(new Plan(200, 3, 2, 1, EnumSet.of(Fault.DRIFT), Set.of(), 2_000, Scene.QUIET, Map.of()));
         assertNull(outcome.violation(), outcome.violation() + "\n" + String.join("\n", outcome.history()));
-        assertEquals(outcome.unknown(), 0, "claims of unknown end");
-        assertTrue(outcome.acts() >= PIECES_OF_THE_LAB * (4_000 - 1_000) / 300, outcome.acts() + " acts");
+        assertEquals(outcome.unknown(), 0, "claims of unknown outcome");
+        assertTrue(outcome.acts() >= LAB_PIECES * (4_000 - 1_000) / 300, outcome.acts() + " acts");
     }
 
-    /** What a leader of many nodes is asked is counted by kind, in the run's traffic. */
+    /** The messages of a run are counted by role and kind. */
     @Test
     public void trafficIsCountedByRoleAndKind() {
         List<Traffic.Figure> traffic = Lab.run(
@@ -97,7 +100,7 @@
                 .sum();
     }
 
-    /** A voter that lost its disk, or is to go, is replaced by command in nearly every run. */
+    /** A voter that lost its disk or is to leave is replaced by command in nearly every run. */
     @Test
     public void lostVotersAreReplaced() {
         List<Outcome> outcomes = runs(4, 20, EnumSet.of(Fault.FORGET, Fault.MOVE), Set.of());
@@ -106,28 +109,34 @@
                 "" + outcomes.stream().map(Outcome::replaced).toList());
     }
 
-    /** A link that is cut ends few lives, since what can't go straight goes by another voter. */
+    /** A broken link ends few lives, because messages are relayed through another voter. */
     @Test
-    public void aDetourSparesMostLives() {
+    public void relayingPreventsMostLifeLosses() {
         Set<Fault> link = EnumSet.of(Fault.LINK);
-        int with = runs(9, 20, link, Set.of()).stream().mapToInt(Outcome::lives).sum();
-        int without = runs(9, 20, link, Set.of(InjectedFault.NO_DETOUR)).stream()
+        int livesWithRelay =
+                runs(9, 20, link, Set.of()).stream().mapToInt(Outcome::lives).sum();
+        int livesWithoutRelay = runs(9, 20, link, Set.of(InjectedFault.NO_DETOUR)).stream()
                 .mapToInt(Outcome::lives)
                 .sum();
-        assertTrue(without > 20 && 3 * with < without, with + " of " + without);
+        assertTrue(
+                livesWithoutRelay > 20 && 3 * livesWithRelay < livesWithoutRelay,
+                livesWithRelay + " of " + livesWithoutRelay);
     }
 
     @Test
-    public void theSameSeedGivesTheSameRunToTheByte() {
-        Plan plan = new Plan(3, 3, 20, 11, ALL, Set.of());
+    public void sameSeedGivesIdenticalRun() {
+        Plan plan = new Plan(3, 3, 20, 11, ALL_FAULTS, Set.of());
         Outcome first = Lab.run(plan);
         assertEquals(Lab.run(plan), first);
-        assertNotEquals(Lab.run(new Plan(3, 3, 20, 12, ALL, Set.of())).fingerprint(), first.fingerprint());
+        assertNotEquals(Lab.run(new Plan(3, 3, 20, 12, ALL_FAULTS, Set.of())).fingerprint(), first.fingerprint());
     }
 
-    /** Each step of a settled cluster of three is lost, late, stalled or the process's last, by itself. */
+    /**
+     * In a stable cluster of three, each step in turn is lost, delayed, suspended, or the last one of its
+     * process.
+     */
     @Test
-    public void noSlipAtAnyStepBreaksARule() {
+    public void rulesHoldForAFaultAtAnyStep() {
         for (Scene scene : Scene.values()) {
             Explorer.Found found = Explorer.run(1, scene, 0, 100, 1, Set.of());
             assertNull(
@@ -138,30 +147,32 @@
                                     + found.outcome().violation());
             assertTrue(found.distinct() > 100 && found.acts() > 20_000, found + "");
         }
-        for (InjectedFault plant : Set.of(InjectedFault.CLAIM_SKIPPED, InjectedFault.OWNER_THAT_DOES_NOT_CHECK)) {
-            assertNotNull(Explorer.run(1, Scene.QUIET, 0, 30, 1, Set.of(plant)).violated());
+        for (InjectedFault injectedFault :
+                Set.of(InjectedFault.CLAIM_SKIPPED, InjectedFault.OWNER_THAT_DOES_NOT_CHECK)) {
+            assertNotNull(Explorer.run(1, Scene.QUIET, 0, 30, 1, Set.of(injectedFault))
+                    .violated());
         }
     }
 
     @DataProvider
-    public Object[][] plants() {
+    public Object[][] injectedFaults() {
         Set<Fault> forget = EnumSet.of(Fault.FORGET, Fault.CUT);
         return new Object[][] {
-            {InjectedFault.CLAIM_SKIPPED, 10, ALL},
-            {InjectedFault.EPOCH_NOT_KEPT, 10, ALL},
-            {InjectedFault.LEASE_WITHOUT_MARGIN, 30, ALL},
-            {InjectedFault.OWNER_THAT_DOES_NOT_CHECK, 30, ALL},
+            {InjectedFault.CLAIM_SKIPPED, 10, ALL_FAULTS},
+            {InjectedFault.EPOCH_NOT_KEPT, 10, ALL_FAULTS},
+            {InjectedFault.LEASE_WITHOUT_MARGIN, 30, ALL_FAULTS},
+            {InjectedFault.OWNER_THAT_DOES_NOT_CHECK, 30, ALL_FAULTS},
             {InjectedFault.FORGOTTEN_VOTES, 120, forget},
-            {InjectedFault.PARTS_OVER, 2, ALL},
-            {InjectedFault.GIVES_BACK_LATE, 10, ALL},
-            {InjectedFault.PART_KEPT, 20, ALL}
+            {InjectedFault.PARTS_OVER, 2, ALL_FAULTS},
+            {InjectedFault.GIVES_BACK_LATE, 10, ALL_FAULTS},
+            {InjectedFault.PART_KEPT, 20, ALL_FAULTS}
         };
     }
 
-    @Test(dataProvider = "plants")
-    public void aPlantedFaultIsFound(InjectedFault plant, int seeds, Set<Fault> faults) {
+    @Test(dataProvider = "injectedFaults")
+    public void injectedFaultIsDetected(InjectedFault injectedFault, int seeds, Set<Fault> faults) {
         assertTrue(
-                runs(3, seeds, faults, Set.of(plant)).stream().anyMatch(o -> o.violation() != null),
-                plant + " was not found in " + seeds + " seeds");
+                runs(3, seeds, faults, Set.of(injectedFault)).stream().anyMatch(o -> o.violation() != null),
+                injectedFault + " was not detected in " + seeds + " seeds");
     }
 }
--- a/src/test/java/gorserill/cluster/RegisterProperties.java
+++ b/src/test/java/gorserill/cluster/RegisterProperties.java
@@ -17,18 +17,21 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Any entries in any order: what the register promises holds after each, and a snapshot forgets nothing. */
+/**
+ * The guarantees of the register hold after each entry of a random sequence, and a restored snapshot
+ * continues with the same state.
+ */
 class RegisterProperties {
     private static final List<String> PIECES = List.of("a", "b", "c");
 
-    private static Entry any(SplittableRandom random, Register register) {
+    private static Entry randomEntry(SplittableRandom random, Register register) {
         String node = "n" + random.nextInt(5);
         String piece = PIECES.get(random.nextInt(3));
-        Register.Node its = register.nodes().get(node);
-        Register.Piece at = register.pieces().get(piece);
-        long life = its == null ? 1 : its.life - (random.nextInt(5) == 0 ? 1 : 0);
-        long epoch = at == null ? 1 : at.epoch - (random.nextInt(4) == 0 ? 1 : 0);
-        long act = (at == null ? 0 : at.last) + random.nextInt(4) - 1;
+        Register.Node registered = register.nodes().get(node);
+        Register.Piece current = register.pieces().get(piece);
+        long life = registered == null ? 1 : registered.life - (random.nextInt(5) == 0 ? 1 : 0);
+        long epoch = current == null ? 1 : current.epoch - (random.nextInt(4) == 0 ? 1 : 0);
+        long act = (current == null ? 0 : current.last) + random.nextInt(4) - 1;
         return switch (random.nextInt(10)) {
             case 0, 1 -> {
                 int process = random.nextInt(6);
@@ -50,7 +53,7 @@
     }
 
     @Property(tries = 300, seed = "5")
-    void whatIsPromisedHoldsAfterEachEntry(@ForAll long seed) {
+    void guaranteesHoldAfterEachEntry(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Register register = new Register(Set.of());
         Register copy = new Register(Set.of());
@@ -58,13 +61,13 @@
         Map<String, String> owners = new HashMap<>();
         Set<String> claimed = new HashSet<>();
         for (int i = 1; i <= 300; i++) {
-            Entry entry = any(random, register);
+            Entry entry = randomEntry(random, register);
             Set<Long> unknown =
                     entry instanceof Entry.Claim claim && register.pieces().containsKey(claim.piece())
                             ? new HashSet<>(register.pieces().get(claim.piece()).unknown)
                             : Set.of();
             CommandResult answer = (CommandResult) register.apply(i, Register.text(entry));
-            assertEquals(answer, copy.apply(i, Register.text(entry)), "the same entry, the same answer");
+            assertEquals(answer, copy.apply(i, Register.text(entry)), "same entry, same result");
             if (i == 150) {
                 String text = copy.snapshot();
                 copy = new Register(Set.of());
@@ -75,20 +78,20 @@
                 String act = claim.piece() + "#" + claim.act() + " under " + claim.epoch();
                 boolean again = claim.again() && unknown.contains(claim.act());
                 boolean first = claimed.add(claim.piece() + "#" + claim.act());
-                assertTrue(first || again || claimed.contains(act), act + " was claimed by another before");
+                assertTrue(first || again || claimed.contains(act), act + " was claimed under another epoch before");
                 claimed.add(act);
             }
             register.pieces().forEach((name, piece) -> {
                 long before = epochs.getOrDefault(name, 0L);
-                assertTrue(piece.epoch >= before, name + " went back from epoch " + before);
+                assertTrue(piece.epoch >= before, name + " has a lower epoch than before: " + before);
                 if (piece.epoch == before && !piece.owner.isEmpty()) {
                     assertEquals(owners.get(name), piece.owner, "another owner under the same epoch");
                 }
                 if (!piece.owner.isEmpty()) {
-                    assertTrue(register.nodes().containsKey(piece.owner), "a node that is gone owns " + name);
+                    assertTrue(register.nodes().containsKey(piece.owner), "owner without a live node: " + name);
                     owners.put(name, piece.owner);
                 } else {
-                    assertTrue(register.preferredOwner(name) == null, "nobody owns " + name + " though one could");
+                    assertTrue(register.preferredOwner(name) == null, "no owner although a node is eligible: " + name);
                 }
                 epochs.put(name, piece.epoch);
                 assertTrue(piece.open.size() <= Register.MAX_OPEN_ACTS
@@ -97,9 +100,9 @@
         }
     }
 
-    /** Who comes or goes moves only what is to be its own. */
+    /** A node that joins takes over pieces only for itself. */
     @Property(tries = 50, seed = "5")
-    void aNodeThatComesTakesNothingFromOneOtherToAnother(@ForAll long seed) {
+    void joiningNodeMovesPiecesOnlyToItself(@ForAll long seed) {
         Register register = new Register(Set.of());
         List<String> pieces = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -116,6 +119,6 @@
                 .count();
         pieces.forEach(piece -> assertTrue(Set.of(before.get(piece), "new").contains(register.preferredOwner(piece))));
         assertTrue(moved > 0 && moved < 25, moved + " of 60 moved");
-        assertFalse(new HashSet<>(before.values()).size() < 4, "work is spread: " + before.values());
+        assertFalse(new HashSet<>(before.values()).size() < 4, "pieces are not spread: " + before.values());
     }
 }
--- a/src/test/java/gorserill/cluster/RegisterTest.java
+++ b/src/test/java/gorserill/cluster/RegisterTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Permits, replacements and builds, as the log makes them. */
+/** Permits, voter replacements, entry formats and budget requests in the register. */
 public class RegisterTest {
     private Register register;
     private long index;
@@ -37,51 +37,51 @@
     }
 
     @Test
-    public void soManyMayBeOutAndThoseThatWentUnheardCount() {
+    public void permitLimitCountsNodesThatWereNotHeard() {
         long life = open("n0", 2).value();
         open("n1", 2);
         open("n2", 2);
         assertTrue(put(new Entry.Close("n0", life, Register.NOT_HEARD)).accepted());
-        CommandResult no = put(new Entry.Permit("n1", 1, false));
-        assertFalse(no.accepted());
-        assertTrue(no.reason().contains("n0"), no.reason());
+        CommandResult refusal = put(new Entry.Permit("n1", 1, false));
+        assertFalse(refusal.accepted());
+        assertTrue(refusal.reason().contains("n0"), refusal.reason());
         open("n0", 2);
-        assertTrue(put(new Entry.Permit("n1", 1, false)).accepted(), "n0 is back");
-        assertTrue(put(new Entry.Permit("n1", 1, false)).accepted(), "asked again, it is the same permit");
+        assertTrue(put(new Entry.Permit("n1", 1, false)).accepted(), "n0 has returned");
+        assertTrue(put(new Entry.Permit("n1", 1, false)).accepted(), "a repeated request is granted the same permit");
         assertFalse(put(new Entry.Permit("n2", 1, false)).accepted());
         assertFalse(put(new Entry.Permit("n2", 1, true)).accepted());
-        assertEquals(register.outOfService().keySet(), Set.of("n1", "n2"), "whoever goes anyway is out, too");
+        assertEquals(register.outOfService().keySet(), Set.of("n1", "n2"), "a forced node counts as out of service");
         put(new Entry.Release("n1"));
         put(new Entry.Release("n2"));
         assertTrue(put(new Entry.Permit("n0", 1, false)).accepted());
     }
 
     @Test
-    public void whoeverLeavesByPlanIsNotWaitedFor() {
+    public void nodeThatLeavesIsNotOutOfService() {
         long life = open("n0", 2).value();
         put(new Entry.Close("n0", life, "left"));
         assertEquals(register.outOfService(), java.util.Map.of());
     }
 
     @Test
-    public void entriesOfALaterBuildWaitUntilAllNodesKnowThem() {
+    public void newerFormatsWaitUntilAllNodesSupportThem() {
         open("old", 0);
         open("new", 2);
         assertEquals(register.format(), 1);
-        assertTrue(new Entry.Permit("new", 1, false).format() > register.format(), "so the leader refuses it");
+        assertTrue(new Entry.Permit("new", 1, false).format() > register.format(), "the leader must refuse it");
         open("old", 2);
         assertEquals(register.format(), 2);
         assertTrue(put(new Entry.Permit("new", 1, false)).accepted());
-        CommandResult late = open("older", 1);
-        assertFalse(late.accepted(), "its voter would leave out what the log has");
-        assertTrue(late.reason().contains("later build"), late.reason());
+        CommandResult outdated = open("older", 1);
+        assertFalse(outdated.accepted(), "its voter would skip entries of the log");
+        assertTrue(outdated.reason().contains("later build"), outdated.reason());
         assertEquals(
                 ((CommandResult) register.apply(++index, "{\"do\":\"unheard of\"}")).reason(),
                 "no entry of this build");
     }
 
     @Test
-    public void aReplacementIsDoneOnceAndTheLastOneAskedForCounts() {
+    public void latestReplacementSupersedesEarlierOnes() {
         open("n3", 2);
         assertFalse(put(new Entry.Replace("n0", "gone")).accepted());
         long first = put(new Entry.Replace("n0", "n3")).value();
@@ -96,7 +96,7 @@
     }
 
     @Test
-    public void requestsForBudgetsInOneEntryAreTakenLikeOneAfterAnother() {
+    public void groupedBudgetRequestsEqualSingleOnes() {
         Register other = new Register(Set.of());
         List<Entry.RequestBudget> requests = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
@@ -109,13 +109,13 @@
             requests.add(new Entry.RequestBudget(node, life, "b", 300 + 100 * i, 1_000, 1));
         }
         requests.add(new Entry.RequestBudget("n0", 99, "b", 1_000, 1_000, 2));
-        Register.CommandResults all =
+        Register.CommandResults grouped =
                 (Register.CommandResults) register.apply(++index, Register.text(new Entry.RequestBudgets(requests)));
-        List<CommandResult> each = requests.stream()
+        List<CommandResult> singleResults = requests.stream()
                 .map(one -> (CommandResult) other.apply(index, Register.text(one)))
                 .toList();
-        assertEquals(all.results(), each);
-        assertFalse(all.results().get(4).accepted(), "that life is over");
+        assertEquals(grouped.results(), singleResults);
+        assertFalse(grouped.results().get(4).accepted(), "that life does not exist");
         assertEquals(
                 register.budgetShares().parts.get("b").keySet(),
                 other.budgetShares().parts.get("b").keySet());
@@ -126,7 +126,7 @@
     }
 
     @Test
-    public void anEntryOfSeveralRequestsThatIsHalfMadeChangesNothing() {
+    public void incompleteGroupEntryChangesNothing() {
         long life = open("n0", Entry.FORMAT).value();
         assertEquals(((Register.CommandResults) register.apply(++index, "{\"do\":\"say_all\"}")).results(), List.of());
         String before = register.snapshot();
--- a/src/test/java/gorserill/cluster/member/BudgetRequestsTest.java
+++ b/src/test/java/gorserill/cluster/member/BudgetRequestsTest.java
@@ -9,31 +9,31 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** What waits at the leader: requests for budgets in groups, and questions that are asked again. */
+/** Queueing at the leader: grouping of budget requests and handling of repeated requests. */
 public class BudgetRequestsTest {
     private static Entry.RequestBudget request(String node, long life, long turn) {
         return new Entry.RequestBudget(node, life, "budget", 10, 10, turn);
     }
 
     @Test
-    public void ofANodeAndBudgetTheNewestWaitsAlone() {
+    public void onlyTheNewestRequestPerNodeAndBudgetIsQueued() {
         BudgetRequests requests = new BudgetRequests();
         List<String> unanswered = new ArrayList<>();
         requests.add(request("a", 5, 1), answer -> unanswered.add("first"));
         requests.add(request("b", 6, 1), answer -> unanswered.add("other"));
         requests.add(request("a", 5, 2), answer -> unanswered.add("second"));
         requests.add(request("a", 5, 1), answer -> unanswered.add("late"));
-        requests.add(request("a", 4, 9), answer -> unanswered.add("of a former life"));
-        assertEquals(unanswered, List.of("first", "late", "of a former life"));
+        requests.add(request("a", 4, 9), answer -> unanswered.add("earlier life"));
+        assertEquals(unanswered, List.of("first", "late", "earlier life"));
         assertEquals(
                 requests.next().stream().map(BudgetRequests.Waiting::request).toList(),
                 List.of(request("a", 5, 2), request("b", 6, 1)),
-                "each keeps its place");
+                "a superseding request keeps the position in the queue");
         assertEquals(requests.size(), 0);
     }
 
     @Test
-    public void groupsAreBoundedAndNoRequestIsLeftBehind() {
+    public void groupsAreBoundedAndComplete() {
         BudgetRequests requests = new BudgetRequests();
         for (int i = 0; i < 300; i++) {
             requests.add(request("node-" + i, i + 1, 1), answer -> {});
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void whatIsBeyondTheRoomIsToBeAskedAgain() {
+    public void requestsBeyondTheLimitAreRefused() {
         BudgetRequests requests = new BudgetRequests();
         List<String> unanswered = new ArrayList<>();
         for (int i = 0; i <= BudgetRequests.MAX_WAITING; i++) {
@@ -67,16 +67,16 @@
     }
 
     @Test
-    public void aQuestionThatComesAgainWaitsForTheSameEntryAndIsAnsweredByAllItsWays() {
-        PendingRequests questions = new PendingRequests();
+    public void repeatedRequestSharesTheEntryAndIsAnsweredOnAllRoutes() {
+        PendingRequests pendingRequests = new PendingRequests();
         List<String> answered = new ArrayList<>();
-        assertTrue(questions.add("p", 1, answer -> answered.add("straight")));
-        assertTrue(!questions.add("p", 1, answer -> answered.add("by another")));
-        assertTrue(questions.add("q", 1, answer -> answered.add("another process's")));
-        questions.complete("p", 1, new Register.CommandResult(true, "", 1));
-        assertEquals(answered, List.of("straight", "by another"));
-        assertTrue(questions.add("p", 1, answer -> answered.add("again")), "its answer may have been lost");
-        questions.complete("p", 1, null);
-        assertEquals(answered.size(), 2, "what is not known is not told");
+        assertTrue(pendingRequests.add("p", 1, answer -> answered.add("direct")));
+        assertTrue(!pendingRequests.add("p", 1, answer -> answered.add("relayed")));
+        assertTrue(pendingRequests.add("q", 1, answer -> answered.add("other process")));
+        pendingRequests.complete("p", 1, new Register.CommandResult(true, "", 1));
+        assertEquals(answered, List.of("direct", "relayed"));
+        assertTrue(pendingRequests.add("p", 1, answer -> answered.add("again")), "the first answer may have been lost");
+        pendingRequests.complete("p", 1, null);
+        assertEquals(answered.size(), 2, "an unknown result is not sent");
     }
 }
