--- a/src/main/java/gorserill/cluster/consensus/Voter.java
+++ b/src/main/java/gorserill/cluster/consensus/Voter.java
@@ -59,7 +59,7 @@
     private static final int STUCK_TIMEOUT_MULTIPLE = 4;
     /** Consecutive rejections of the same entries after which a follower counts as stuck. */
     private static final int MAX_REPEATED_REJECTIONS = 20;
-    /** Characters per snapshot chunk; a message must fit a datagram. */
+    /** Characters per snapshot chunk. */
     private static final int SNAPSHOT_CHUNK_CHARS = 3_000;
 
     /**
@@ -323,9 +323,9 @@
         RaftNode raftNode = raft;
         changePending = true;
         raftNode.getReport()
-                .whenComplete((report, fault) -> environment.after(0, () -> {
+                .whenComplete((report, error) -> environment.after(0, () -> {
                     changePending = false;
-                    if (fault == null && raft == raftNode && !stopped) {
+                    if (error == null && raft == raftNode && !stopped) {
                         var log = report.getResult().getLog();
                         if (log.getFollowerMatchIndices().getOrDefault(new VoterEndpoint(newVoter), 0L)
                                 >= log.getCommitIndex() - MAX_ENTRIES_PER_MESSAGE) {
@@ -339,7 +339,7 @@
         changePending = true;
         RaftNode raftNode = raft;
         raftNode.changeMembership(new VoterEndpoint(who), how, membersSince())
-                .whenComplete((result, fault) -> environment.after(0, () -> {
+                .whenComplete((result, error) -> environment.after(0, () -> {
                     changePending = false;
                 }));
     }
@@ -372,14 +372,14 @@
      * Handles the member list of a leader that a quorum has confirmed. A voter that was removed would
      * continue to request votes; it discards its log and never votes under its old name again.
      */
-    public void updateMembers(Set<String> members, long as) {
+    public void updateMembers(Set<String> members, long membersIndex) {
         if (!stopped
                 && !voter.isEmpty()
                 && bootstrap.isComplete()
-                && as > assignedAt
+                && membersIndex > assignedAt
                 && !members.isEmpty()
                 && !members.contains(voter)) {
-            applyAssignment(new VoterAssignment("", List.copyOf(founders), as));
+            applyAssignment(new VoterAssignment("", List.copyOf(founders), membersIndex));
         }
     }
 
@@ -453,31 +453,31 @@
     /**
      * Proposes a log entry.
      *
-     * @param then receives the result of applying it, or null if it is not known whether the entry is or will
+     * @param callback receives the result of applying it, or null if it is not known whether the entry is or will
      *     be in the log
      */
-    public void propose(String entry, Consumer<Object> then) {
+    public void propose(String entry, Consumer<Object> callback) {
         if (raft == null) {
-            environment.after(0, () -> then.accept(null));
+            environment.after(0, () -> callback.accept(null));
             return;
         }
-        deliver(raft.<Object>replicate(entry), then);
+        deliver(raft.<Object>replicate(entry), callback);
     }
 
     /** Asks a quorum to confirm that this voter still leads; if so, its applied state is current. */
-    public void confirmLeadership(Consumer<Boolean> then) {
+    public void confirmLeadership(Consumer<Boolean> callback) {
         if (raft == null) {
-            environment.after(0, () -> then.accept(false));
+            environment.after(0, () -> callback.accept(false));
             return;
         }
         deliver(
                 raft.<Object>query("", QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty()),
-                result -> then.accept(result != null));
+                result -> callback.accept(result != null));
     }
 
-    private <T> void deliver(CompletableFuture<io.microraft.Ordered<T>> future, Consumer<Object> then) {
-        future.whenComplete((result, fault) ->
-                environment.after(0, () -> then.accept(fault == null && !stopped ? result.getResult() : null)));
+    private <T> void deliver(CompletableFuture<io.microraft.Ordered<T>> future, Consumer<Object> callback) {
+        future.whenComplete((result, error) ->
+                environment.after(0, () -> callback.accept(error == null && !stopped ? result.getResult() : null)));
     }
 
     private void storeFailed(IOException e) {
--- a/src/main/java/gorserill/cluster/member/Member.java
+++ b/src/main/java/gorserill/cluster/member/Member.java
@@ -107,13 +107,13 @@
 
     private static final class PendingRequest {
         final Entry entry;
-        final Consumer<Register.CommandResult> then;
-        final long until;
+        final Consumer<Register.CommandResult> callback;
+        final long deadline;
 
-        PendingRequest(Entry entry, Consumer<Register.CommandResult> then, long until) {
+        PendingRequest(Entry entry, Consumer<Register.CommandResult> callback, long deadline) {
             this.entry = entry;
-            this.then = then;
-            this.until = until;
+            this.callback = callback;
+            this.deadline = deadline;
         }
     }
 
@@ -293,21 +293,21 @@
     // ---- requests to the leader ----
 
     /** Replaces one voter by another node, or a voter that lost its disk by itself. */
-    public void replace(String leaving, String coming, long wait, Consumer<Register.CommandResult> then) {
-        ask(new Entry.Replace(leaving, coming), then, wait);
+    public void replace(String leaving, String coming, long wait, Consumer<Register.CommandResult> callback) {
+        ask(new Entry.Replace(leaving, coming), callback, wait);
     }
 
     /**
      * Requests a permit to be out of service while fewer than {@code most} others are; with {@code forced},
      * the node counts as out of service even if refused.
      */
-    public void permit(int most, boolean forced, long wait, Consumer<Register.CommandResult> then) {
-        ask(new Entry.Permit(config.node(), most, forced), then, wait);
+    public void permit(int most, boolean forced, long wait, Consumer<Register.CommandResult> callback) {
+        ask(new Entry.Permit(config.node(), most, forced), callback, wait);
     }
 
     /** Records that a node is back in service or permanently gone. */
-    public void release(String node, long wait, Consumer<Register.CommandResult> then) {
-        ask(new Entry.Release(node), then, wait);
+    public void release(String node, long wait, Consumer<Register.CommandResult> callback) {
+        ask(new Entry.Release(node), callback, wait);
     }
 
     /** State for diagnosing faults. */
@@ -332,7 +332,7 @@
     }
 
     /** Closes the life of this node. */
-    public void close(Runnable then) {
+    public void close(Runnable callback) {
         // Its pieces are reassigned as soon as the entry is committed, so they are released here first.
         long closedLife = life;
         life = 0;
@@ -340,7 +340,7 @@
         leaseUntil = Long.MIN_VALUE / 2;
         releaseAll();
         clearBudgets();
-        ask(new Entry.Close(config.node(), closedLife, "left"), answer -> then.run(), config.leaseMs());
+        ask(new Entry.Close(config.node(), closedLife, "left"), answer -> callback.run(), config.leaseMs());
     }
 
     /** Sets the consumer of the budget shares; to be called before {@link #start}. */
@@ -362,10 +362,10 @@
             }
 
             @Override
-            public void say(String budget, int wants, int keeps, long turn, IntConsumer then) {
+            public void say(String budget, int wants, int keeps, long turn, IntConsumer callback) {
                 ask(
                         new Entry.RequestBudget(config.node(), life, budget, wants, keeps, turn),
-                        answer -> then.accept(answer == null || !answer.accepted() ? -1 : (int) answer.value()),
+                        answer -> callback.accept(answer == null || !answer.accepted() ? -1 : (int) answer.value()),
                         config.leaseMs());
             }
         };
@@ -380,10 +380,10 @@
     /**
      * Assigns a piece to a node, or removes the assignment if the name is empty.
      *
-     * @param wait milliseconds after which {@code then} receives null instead of an answer
+     * @param wait milliseconds after which {@code callback} receives null instead of an answer
      */
-    public void transfer(String piece, String to, long wait, Consumer<Register.CommandResult> then) {
-        ask(new Entry.Transfer(piece, to), then, wait);
+    public void transfer(String piece, String to, long wait, Consumer<Register.CommandResult> callback) {
+        ask(new Entry.Transfer(piece, to), callback, wait);
     }
 
     /**
@@ -392,12 +392,12 @@
      *
      * @param again whether an act of unknown outcome may be repeated, where that is harmless
      */
-    public void claim(String piece, long act, boolean again, Consumer<ClaimResult> then) {
+    public void claim(String piece, long act, boolean again, Consumer<ClaimResult> callback) {
         long epoch = epoch(piece);
         if (epoch == 0 || held.get(piece).leaving || injectedFaults.contains(InjectedFault.CLAIM_SKIPPED)) {
             environment.after(
                     0,
-                    () -> then.accept(
+                    () -> callback.accept(
                             epoch > 0 && injectedFaults.contains(InjectedFault.CLAIM_SKIPPED)
                                     ? ClaimResult.GRANTED
                                     : ClaimResult.RETRY));
@@ -405,7 +405,7 @@
         }
         ask(
                 new Entry.Claim(piece, epoch, act, again),
-                answer -> then.accept(
+                answer -> callback.accept(
                         answer == null
                                 ? ClaimResult.UNKNOWN
                                 : answer.accepted()
@@ -434,34 +434,34 @@
     /**
      * Sends a request to the leader.
      *
-     * @param then receives the answer, or null if none arrived within {@code wait} milliseconds
+     * @param callback receives the answer, or null if none arrived within {@code wait} milliseconds
      */
-    private void ask(Entry entry, Consumer<Register.CommandResult> then, long wait) {
+    private void ask(Entry entry, Consumer<Register.CommandResult> callback, long wait) {
         if (pending.size() >= MAX_PENDING_REQUESTS) {
             drop("more than " + MAX_PENDING_REQUESTS + " pending requests");
-            environment.after(0, () -> then.accept(null));
+            environment.after(0, () -> callback.accept(null));
             return;
         }
         long id = nextId++;
-        pending.put(id, new PendingRequest(entry, then, environment.millis() + wait));
+        pending.put(id, new PendingRequest(entry, callback, environment.millis() + wait));
         ask(id);
     }
 
     private void ask(long id) {
-        PendingRequest question = pending.get(id);
-        if (question == null || stopped) {
+        PendingRequest request = pending.get(id);
+        if (request == null || stopped) {
             return;
-        } else if (environment.millis() >= question.until) {
+        } else if (environment.millis() >= request.deadline) {
             pending.remove(id);
-            question.then.accept(null);
+            request.callback.accept(null);
             return;
         }
         sendToLeader(LeaderService.message("ask")
                 .put("id", id)
                 .put("process", config.process())
-                .put("entry", Register.text(question.entry)));
+                .put("entry", Register.text(request.entry)));
         environment.after(
-                Math.max(1, Math.min(2 * config.heartbeatMs(), question.until - environment.millis())), () -> {
+                Math.max(1, Math.min(2 * config.heartbeatMs(), request.deadline - environment.millis())), () -> {
                     if (pending.containsKey(id)) {
                         tryNextVoter();
                         ask(id);
@@ -522,10 +522,10 @@
      * that this node may have completed and forgotten, so it must return under a new epoch.
      */
     private void releaseAll() {
-        for (Map.Entry<String, OwnedPiece> each : List.copyOf(held.entrySet())) {
-            held.remove(each.getKey());
-            releasedEpochs.put(each.getKey(), each.getValue().epoch);
-            pieceHandler.lost(each.getKey(), each.getValue().epoch);
+        for (Map.Entry<String, OwnedPiece> entry : List.copyOf(held.entrySet())) {
+            held.remove(entry.getKey());
+            releasedEpochs.put(entry.getKey(), entry.getValue().epoch);
+            pieceHandler.lost(entry.getKey(), entry.getValue().epoch);
         }
     }
 
@@ -668,9 +668,9 @@
     }
 
     /** Relays a message through another member, as the direct link may be broken. */
-    private void relay(String way, String to, ObjectNode message) {
+    private void relay(String relayNode, String to, ObjectNode message) {
         sign(message);
-        send(way, LeaderService.message("by").put("to", to).set("message", message));
+        send(relayNode, LeaderService.message("by").put("to", to).set("message", message));
     }
 
     private ObjectNode sign(ObjectNode message) {
@@ -740,11 +740,11 @@
             }
             case "told" -> {
                 // An answer to a previous process of this node must not complete a request of this one.
-                PendingRequest question = message.path("process").asText().equals(config.process())
+                PendingRequest request = message.path("process").asText().equals(config.process())
                         ? pending.remove(message.path("id").asLong())
                         : null;
-                if (question != null) {
-                    question.then.accept(new Register.CommandResult(
+                if (request != null) {
+                    request.callback.accept(new Register.CommandResult(
                             message.path("done").asBoolean(),
                             message.path("why").asText(),
                             message.path("number").asLong()));
@@ -766,7 +766,8 @@
      * Forwards a message that another member can't send directly. A relayed message is never relayed again,
      * so it can't circulate; the recipient handles it and sends its answer back through the same relay.
      */
-    private void forwardRelayed(String way, String to, JsonNode message) throws MalformedMessageException, IOException {
+    private void forwardRelayed(String relayNode, String to, JsonNode message)
+            throws MalformedMessageException, IOException {
         if (!(message instanceof ObjectNode inner)
                 || inner.path("kind").asText().equals("by")
                 || !inner.path("cluster").asText().equals(config.cluster())) {
@@ -779,10 +780,10 @@
             drop("by: no leader is known here");
         } else if (recipient.equals(config.node())) {
             handle(inner.path("from").asText(), inner, (from, answer) -> {
-                relay(way, from, answer.deepCopy());
+                relay(relayNode, from, answer.deepCopy());
                 send(from, answer);
             });
-        } else if (!way.equals(recipient)) {
+        } else if (!relayNode.equals(recipient)) {
             send(recipient, LeaderService.message("by").put("to", recipient).set("message", inner));
         }
     }
--- a/src/main/java/gorserill/cluster/ownership/Register.java
+++ b/src/main/java/gorserill/cluster/ownership/Register.java
@@ -374,7 +374,7 @@
         } else if (claim.act() <= piece.last) {
             return CommandResult.refused(ALREADY_CLAIMED);
         } else if (piece.open.size() >= MAX_OPEN_ACTS) {
-            return CommandResult.refused("more than " + MAX_OPEN_ACTS + " acts of that piece are open");
+            return CommandResult.refused("that piece has " + MAX_OPEN_ACTS + " open acts already");
         }
         piece.last = claim.act();
         piece.open.put(claim.act(), claim.epoch());
@@ -453,9 +453,9 @@
      * yields by itself.
      */
     private void assign() {
-        for (Map.Entry<String, Piece> each : state.pieces.entrySet()) {
-            Piece piece = each.getValue();
-            String heir = piece.owner.isEmpty() ? preferredOwner(each.getKey()) : null;
+        for (Map.Entry<String, Piece> entry : state.pieces.entrySet()) {
+            Piece piece = entry.getValue();
+            String heir = piece.owner.isEmpty() ? preferredOwner(entry.getKey()) : null;
             if (heir != null) {
                 piece.owner = heir;
                 piece.epoch += defects.contains(Defect.EPOCH_NOT_KEPT) && piece.epoch > 0 ? 0 : 1;
