--- a/src/main/java/gorserill/cluster/consensus/Voter.java
+++ b/src/main/java/gorserill/cluster/consensus/Voter.java
@@ -410,10 +410,8 @@
                 : bootstrap.stateLost()
                         ? "its store is empty, but the cluster was founded: it must be replaced"
                         : voter.isEmpty()
-                                ? assignedAt > 0 ? "replaced by another voter" : "spare"
-                                : bootstrap.isComplete()
-                                        ? null
-                                        : "waiting for all initial voters to report for the first time";
+                                ? assignedAt > 0 ? "another has its place" : "spare"
+                                : bootstrap.isComplete() ? null : "waits for all voters to be there for the first time";
     }
 
     /** Handles a message of another voter. */
@@ -481,7 +479,7 @@
     }
 
     private void storeFailed(IOException e) {
-        failureReason = "the store failed: " + e.getMessage();
+        failureReason = "its store failed: " + e.getMessage();
         stopped = true;
         reported(false, null);
     }
@@ -602,7 +600,7 @@
         public Object runOperation(long index, Object operation) {
             String entry = (String) operation;
             if (isObsolete()) {
-                throw new IllegalStateException("this Raft node instance was replaced");
+                throw new IllegalStateException("this life of the library's node is over");
             } else if (entry.isEmpty()) {
                 // The first entry of a new term, or a query that confirms the leadership.
                 return Boolean.TRUE;
--- a/src/main/java/gorserill/cluster/member/LeaderService.java
+++ b/src/main/java/gorserill/cluster/member/LeaderService.java
@@ -165,7 +165,7 @@
                         .put("why", answer.reason())
                         .put("number", answer.value()));
         String refusalReason = entry.format() > register.format()
-                ? "some nodes run a build that does not support this yet"
+                ? "not all nodes are of a build that knows this yet"
                 : entry instanceof Entry.Replace replace ? refusalReason(replace) : null;
         Consumer<Register.CommandResult> all = answer -> pendingRequests.complete(process, id, answer);
         if (refusalReason != null) {
@@ -251,11 +251,12 @@
         // If the replacement in progress were superseded when its new voter already votes, the old voter
         // would never be removed.
         return replacement != null && voter.votes(replacement.coming, replacement.entry)
-                ? replacement.coming + " is replacing " + replacement.leaving + "; retry when that is finished"
+                ? replacement.coming + " is just taking the place of " + replacement.leaving
+                        + "; ask again when that is done"
                 : !seats.contains(replace.leaving())
                         ? "no voter " + replace.leaving() + " among " + seats
                         : seats.contains(replace.coming()) && !replace.coming().equals(replace.leaving())
-                                ? replace.coming() + " is already a voter"
+                                ? replace.coming() + " votes already"
                                 : null;
     }
 
--- a/src/main/java/gorserill/cluster/member/Member.java
+++ b/src/main/java/gorserill/cluster/member/Member.java
@@ -312,7 +312,7 @@
 
     /** State for diagnosing faults. */
     public String diagnostics() {
-        return "pending " + pending.size() + " " + (voter == null ? "" : voter.diagnostics());
+        return "asking " + pending.size() + " " + (voter == null ? "" : voter.diagnostics());
     }
 
     /** The names of the voters, each with whether it votes already, as known to this voter. */
--- a/src/main/java/gorserill/cluster/ownership/Register.java
+++ b/src/main/java/gorserill/cluster/ownership/Register.java
@@ -208,7 +208,7 @@
         } else if (entry instanceof Entry.Leave leave) {
             Node node = state.nodes.get(leave.node());
             if (node == null || node.life != leave.life()) {
-                return CommandResult.refused("that life is closed");
+                return CommandResult.refused("that life is over");
             }
             node.leaves = leave.leaves();
             assign();
@@ -224,9 +224,7 @@
         } else if (entry instanceof Entry.Replaced replaced) {
             boolean matches = state.replacing != null && state.replacing.entry == replaced.entry();
             state.replacing = matches ? null : state.replacing;
-            return matches
-                    ? CommandResult.accepted(replaced.entry())
-                    : CommandResult.refused("that voter replacement is not in progress");
+            return matches ? CommandResult.accepted(replaced.entry()) : CommandResult.refused("that is not under way");
         } else if (entry instanceof Entry.Permit permit) {
             return permit(permit);
         } else if (entry instanceof Entry.RequestBudget request) {
@@ -237,7 +235,7 @@
         } else if (entry instanceof Entry.ReclaimShare reclaim) {
             return state.parts.releaseGhost(reclaim.ghost())
                     ? CommandResult.accepted(index)
-                    : CommandResult.refused("that share was already reclaimed");
+                    : CommandResult.refused("it is buried");
         } else if (entry instanceof Entry.Release release) {
             return state.out.remove(release.node()) != null
                     ? CommandResult.accepted(0)
@@ -248,7 +246,7 @@
 
     private CommandResult open(long index, Entry.Open open) {
         if (Math.max(1, open.format()) < state.format) {
-            return CommandResult.refused("the log has entries that only a later build knows");
+            return CommandResult.refused("the cluster has gone on to what a later build knows");
         }
         LatestProcess newest = state.newest.get(open.node());
         boolean same = newest != null && newest.process.equals(open.process());
@@ -296,7 +294,7 @@
     private CommandResult close(String name, long life, String why) {
         Node node = state.nodes.get(name);
         if (node == null || node.life != life) {
-            return CommandResult.refused("that life is closed");
+            return CommandResult.refused("that life is over");
         }
         state.nodes.remove(name);
         state.parts.endLife(name, life, why.equals(REPLACED));
@@ -316,7 +314,7 @@
     private CommandResult yieldPiece(Entry.Yield yield) {
         Piece piece = state.pieces.get(yield.piece());
         if (piece == null || piece.epoch != yield.epoch() || piece.owner.isEmpty()) {
-            return CommandResult.refused("that epoch is not current");
+            return CommandResult.refused("that epoch is over");
         }
         piece.owner = "";
         assign();
@@ -328,7 +326,7 @@
         if (piece == null) {
             return CommandResult.refused("no piece of that name");
         } else if (!transfer.to().isEmpty() && !eligible(transfer.to(), transfer.piece())) {
-            return CommandResult.refused("no such node that is eligible to own that piece");
+            return CommandResult.refused("no such node that can own it");
         }
         piece.wanted = transfer.to();
         assign();
@@ -337,7 +335,7 @@
 
     private CommandResult replace(long index, Entry.Replace replace) {
         if (!state.nodes.containsKey(replace.coming())) {
-            return CommandResult.refused("no live node " + replace.coming() + " to become a voter");
+            return CommandResult.refused("no node " + replace.coming() + " is there to vote");
         }
         state.replacing = new VoterReplacement();
         state.replacing.leaving = replace.leaving();
@@ -357,14 +355,14 @@
         }
         return permitted
                 ? CommandResult.accepted(others.size() + 1)
-                : CommandResult.refused("already out of service: "
+                : CommandResult.refused("out of service already: "
                         + String.join(" ", others.subList(0, Math.min(9, others.size()))));
     }
 
     private CommandResult claim(Entry.Claim claim) {
         Piece piece = state.pieces.get(claim.piece());
         if (piece == null || piece.epoch != claim.epoch() || piece.owner.isEmpty()) {
-            return CommandResult.refused("that epoch is not current");
+            return CommandResult.refused("that epoch is over");
         } else if (Long.valueOf(claim.epoch()).equals(piece.open.get(claim.act()))) {
             // The owner repeats the claim because it did not receive the answer.
             return CommandResult.accepted(claim.act());
@@ -374,7 +372,7 @@
         } else if (claim.act() <= piece.last) {
             return CommandResult.refused(ALREADY_CLAIMED);
         } else if (piece.open.size() >= MAX_OPEN_ACTS) {
-            return CommandResult.refused("that piece has " + MAX_OPEN_ACTS + " open acts already");
+            return CommandResult.refused("too many acts are open");
         }
         piece.last = claim.act();
         piece.open.put(claim.act(), claim.epoch());
@@ -384,7 +382,7 @@
     private CommandResult requestBudget(Entry.RequestBudget request) {
         Node node = state.nodes.get(request.node());
         return node == null || node.life != request.life()
-                ? CommandResult.refused("that life is closed")
+                ? CommandResult.refused("that life is over")
                 : CommandResult.accepted(state.parts.request(
                         request.node(),
                         request.budget(),
--- a/src/test/java/gorserill/cluster/BudgetSharesProperties.java
+++ b/src/test/java/gorserill/cluster/BudgetSharesProperties.java
@@ -53,8 +53,10 @@
                 }
                 default -> {
                     int previousShare = shareOf(parts, node);
-                    int keeps = random.nextBoolean() ? previousShare : random.nextInt(BudgetShares.WHOLE_THOUSANDTHS + 1);
-                    parts.request(node, "b", random.nextInt(BudgetShares.WHOLE_THOUSANDTHS + 1), keeps, ++turns[n], false);
+                    int keeps =
+                            random.nextBoolean() ? previousShare : random.nextInt(BudgetShares.WHOLE_THOUSANDTHS + 1);
+                    parts.request(
+                            node, "b", random.nextInt(BudgetShares.WHOLE_THOUSANDTHS + 1), keeps, ++turns[n], false);
                 }
             }
             assertTrue(parts.unassigned("b") >= 0, "at step " + i);
@@ -138,7 +140,7 @@
                 retries.recordFirstAttempt();
                 first++;
             } else {
-                retried += retries.again() ? 1 : 0;
+                retried += retries.tryRetry() ? 1 : 0;
             }
             assertTrue(retried <= part * first + 1e-6, retried + " after " + first);
         }
--- a/src/test/java/gorserill/cluster/LabTest.java
+++ b/src/test/java/gorserill/cluster/LabTest.java
@@ -34,7 +34,8 @@
     private static List<Outcome> runs(int nodes, long seeds, Set<Fault> faults, Set<InjectedFault> injectedFaults) {
         return LongStream.range(0, seeds)
                 .parallel()
-                .mapToObj(seed -> ClusterSimulation.run(new Plan(nodes, Math.min(3, nodes), 30, seed, faults, injectedFaults)))
+                .mapToObj(seed ->
+                        ClusterSimulation.run(new Plan(nodes, Math.min(3, nodes), 30, seed, faults, injectedFaults)))
                 .toList();
     }
 
@@ -69,8 +70,8 @@
      */
     @Test
     public void claimsAreNotDelayedByBudgetRequestsOfTwoHundredNodes() {
-        Outcome outcome =
-                ClusterSimulation.run(new Plan(200, 3, 2, 1, EnumSet.of(Fault.DRIFT), Set.of(), 2_000, Scenario.QUIET, Map.of()));
+        Outcome outcome = ClusterSimulation.run(
+                new Plan(200, 3, 2, 1, EnumSet.of(Fault.DRIFT), Set.of(), 2_000, Scenario.QUIET, Map.of()));
         assertNull(outcome.violation(), outcome.violation() + "\n" + String.join("\n", outcome.history()));
         assertEquals(outcome.unknownClaims(), 0, "claims of unknownClaims outcome");
         assertTrue(outcome.actsRun() >= LAB_PIECES * (4_000 - 1_000) / 300, outcome.actsRun() + " actsRun");
@@ -113,8 +114,9 @@
     @Test
     public void relayingPreventsMostLifeLosses() {
         Set<Fault> link = EnumSet.of(Fault.LINK);
-        int livesWithRelay =
-                runs(9, 20, link, Set.of()).stream().mapToInt(Outcome::falselyEndedLives).sum();
+        int livesWithRelay = runs(9, 20, link, Set.of()).stream()
+                .mapToInt(Outcome::falselyEndedLives)
+                .sum();
         int livesWithoutRelay = runs(9, 20, link, Set.of(InjectedFault.NO_DETOUR)).stream()
                 .mapToInt(Outcome::falselyEndedLives)
                 .sum();
@@ -128,7 +130,10 @@
         Plan plan = new Plan(3, 3, 20, 11, ALL_FAULTS, Set.of());
         Outcome first = ClusterSimulation.run(plan);
         assertEquals(ClusterSimulation.run(plan), first);
-        assertNotEquals(ClusterSimulation.run(new Plan(3, 3, 20, 12, ALL_FAULTS, Set.of())).fingerprint(), first.fingerprint());
+        assertNotEquals(
+                ClusterSimulation.run(new Plan(3, 3, 20, 12, ALL_FAULTS, Set.of()))
+                        .fingerprint(),
+                first.fingerprint());
     }
 
     /**
