--- a/src/main/java/gorserill/cluster/consensus/Bootstrap.java
+++ b/src/main/java/gorserill/cluster/consensus/Bootstrap.java
@@ -12,9 +12,9 @@
 
 /**
  * Decides whether a voter may vote. A voter with empty storage is either new, as all voters of a new cluster
- * are, or has lost reportedStage state, which only the other voters can tell. It becomes READY once all of them have
+ * are, or has lost its state, which only the other voters can tell. It becomes READY once all of them have
  * reported that they have not voted yet, reports this only after it is on disk, and votes once all are ready.
- * A voter that returned with empty storage under reportedStage old name could vote twice in a term, and two leaders
+ * A voter that returned with empty storage under its old name could vote twice in a term, and two leaders
  * would assign the same work.
  */
 final class Bootstrap {
--- a/src/main/java/gorserill/cluster/member/LeaderService.java
+++ b/src/main/java/gorserill/cluster/member/LeaderService.java
@@ -19,7 +19,7 @@
 /**
  * Serves the members while this voter leads: proposes log entries for them, renews leases and closes the
  * lives of nodes that were not heard. A leader that was partitioned off does not notice it at once, so a
- * lease is completeRenewal only after a quorum has confirmed the leadership.
+ * lease is renewed only after a quorum has confirmed the leadership.
  */
 final class LeaderService {
     /** Batching interval of renewals and budget requests, in heartbeat periods. */
@@ -299,7 +299,7 @@
     private void completeRenewal(Renewal renewal) {
         Register.Node node = register.nodes().get(renewal.node);
         if (node != null && closingLives.getOrDefault(renewal.node, 0L) == node.life) {
-            // A lease completeRenewal now would outlast the entry that closes this life.
+            // A lease renewed now would outlast the entry that closes this life.
             return;
         } else if (node != null && node.life == renewal.life) {
             LastHeard heard = heardAt.get(renewal.node);
--- a/src/main/java/gorserill/cluster/member/Member.java
+++ b/src/main/java/gorserill/cluster/member/Member.java
@@ -348,7 +348,7 @@
         spender = newSpender;
     }
 
-    /** The interface through which the spender uses this member. */
+    /** The interface through which the budget client uses this member. */
     public BudgetClient.MemberLink budgetLink() {
         return new BudgetClient.MemberLink() {
             @Override
@@ -546,7 +546,7 @@
         viewIndex = of;
         updateVoters(view);
         if (!inLease()) {
-            // The lease expired before this renewLease: the handlers must be notified of the loss, or work that
+            // The lease expired before this renewal: the handlers must be notified of the loss, or work that
             // stopped at the expiry would not start again.
             releaseAll();
         }
