--- a/src/main/java/barrowflow/Choice.java
+++ b/src/main/java/barrowflow/Choice.java
@@ -1,122 +1,160 @@
 package barrowflow;
 
-import barrowflow.Ledger.Attempt;
-import barrowflow.Ledger.Good;
-import barrowflow.Ledger.Job;
-import barrowflow.Ledger.Seller;
+import barrowflow.MarketState.Commodity;
+import barrowflow.MarketState.JobAttempt;
+import barrowflow.MarketState.PendingJob;
+import barrowflow.MarketState.WorkerMarket;
 import barrowflow.gossip.Gossip;
-import barrowflow.probing.Prober;
+import barrowflow.probing.ProbeRateLimiter;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /**
- * Every decision of a dispatcher; its interface, with all types, events and actions, is Dispatcher.java.
+ * Makes every decision of a dispatcher; its interface, with all types, events and actions, is
+ * Dispatcher.java.
  *
- * <p>A QA-NT market runs for each worker over this dispatcher's own pushes. Each period its slot-seconds are
- * filled with a quota for each good, the dearest by the slot-second first; a request met by no quota raises
- * the good's price there, leftover lowers it; a job goes to the able worker with quota and the shortest
- * learned time to its end, and what nobody takes is held for a period. A good is a class's jobs of a width.
+ * <p>The dispatcher runs a QA-NT market (query allocation by non-tâtonnement pricing) for each worker, over
+ * its own pushes. Each period it fills a worker's slot-time with quotas of commodities, those with the
+ * highest price per slot-second first. A request that finds no quota raises the commodity's price at that
+ * worker, and quota left over lowers it. A job goes to the eligible worker that has quota and the shortest
+ * expected completion time; a job that no worker takes is held until the next period. A commodity is the jobs
+ * of one class and one width in slots.
  */
 public final class Choice implements Dispatcher {
-    /** λ: a price moves by a tenth for each request unmet or job left over, within a span of the worth. */
-    private static final double LAMBDA = 0.1;
-
+    /** λ: the relative change of a price for each request without quota and each job of quota left over. */
+    private static final double PRICE_STEP = 0.1;
+    /** Highest price relative to a commodity's value; the lowest one is its inverse or less. */
     private static final double PRICE_SPAN = 16;
-    /** A period is this part of the shortest aim, so that waiting one costs little of any job's time. */
-    private static final int PERIODS_IN_AIM = 8;
-    /** A start notice takes no longer than this many periods, until a quicker one is seen. */
-    private static final int LONGEST_REACH = 4;
-    /** A prompt start takes so many periods more than the quickest one seen. */
-    private static final double SLACK = 1.5;
-    /** A start on a connection that must be opened first takes so many times as long as the quickest one. */
-    private static final double OPENING = 3;
-    /** A crossing of zones counts as so many times its price in time, and is left out for a period. */
-    private static final double CROSSING = 3;
-    /** An unsafe job that fails counts as so many times what it may take. */
-    private static final double LOST = 4;
-    /** How unsure it is what others have at a worker, in slots of one. */
-    private static final double UNSURE = 4;
-    /** How long an own job waited at a worker counts less as time goes on, in microseconds. */
-    private static final double WAIT_MEMORY = 2e6;
-    /** A prompt start adds this part of the even share, a queued one takes this part of the share. */
-    private static final double GROW = 0.25;
-
-    private static final double SHRINK = 0.2;
-    /** Even shares are a slot over this at least; many dispatchers trade with a part of the workers each. */
-    private static final double SHARES_IN_SLOT = 4;
-    /** A copy has to save this part of what its work is worth on average, as if it always ran in vain. */
-    private static final double COPY_PRICE = 0.5;
-    /** Standard deviations of chance kept below a cold worker's limit, and where others tell of theirs. */
+    /**
+     * Periods in the shortest target time of any class, so that holding a job for a period costs little of
+     * its time.
+     */
+    private static final int PERIODS_PER_TARGET = 8;
+    /** Upper limit of the assumed shortest start delay, in periods, until a shorter one is observed. */
+    private static final int MAX_START_DELAY_PERIODS = 4;
+    /** A start counts as prompt up to this many periods after the shortest start delay. */
+    private static final double START_SLACK_PERIODS = 1.5;
+    /** Start delay on a connection that has to be opened first, as a multiple of the shortest start delay. */
+    private static final double CONNECT_DELAY_FACTOR = 3;
+    /**
+     * Weight of the price of a zone crossing in the expected completion time. Crossings are avoided for a
+     * job's first period.
+     */
+    private static final double ZONE_CROSSING_FACTOR = 3;
+    /**
+     * Weight of an unsafe job's probability of failure at a worker, in multiples of the time in which it must
+     * be answered for full value.
+     */
+    private static final double UNSAFE_FAILURE_FACTOR = 4;
+    /**
+     * Smoothing of the expected queue, because the load of other dispatchers is known only approximately: a
+     * variance, in slots, per slot of the worker.
+     */
+    private static final double QUEUE_UNCERTAINTY_SLOTS = 4;
+    /** Time constant with which the last start delay at a worker loses its weight, microseconds. */
+    private static final double START_DELAY_DECAY_MICROS = 2e6;
+    /** A prompt start increases the worker's share by this fraction of the even share. */
+    private static final double SHARE_GROWTH = 0.25;
+    /** A delayed start or a rejection reduces the worker's share by this fraction. */
+    private static final double SHARE_DECREASE = 0.2;
+    /**
+     * Even shares are at least one slot divided by this; with many dispatchers, each trades with a part of
+     * the workers.
+     */
+    private static final double MAX_SHARES_PER_SLOT = 4;
+    /**
+     * A second attempt has to save at least this fraction of the mean value of the work it costs, as if that
+     * work were always wasted.
+     */
+    private static final double HEDGE_PRICE = 0.5;
+    /** Safety margin below a cold worker's overload limit, in standard deviations. */
     private static final double COLD_SIGMAS = 3;
-
-    private static final double TOLD_SIGMAS = 1;
-    /** A cold worker of which others tell holds so many times what it can run at the most. */
-    private static final double COLD_QUEUE = 1.5;
-    /** A drawn job stands for this part of the window in which a cold worker can be pushed over. */
-    private static final double TOKEN = 0.25;
-    /** Danger: a worker that is not there uses up the attempts of job after job; it is barred for longer. */
-    private static final int GONE = 32;
-    /** A bar doubles up to so often. */
-    private static final int MAX_DOUBLINGS = 6;
-    /** Danger: what discovery has to tell counts as told after some seconds; waits for it stay below 1 s. */
-    private static final int LIST_DOUBLINGS = 1;
-
-    private static final long LIST_BACKOFF = 250_000;
+    /** The same margin where other dispatchers announce their load. */
+    private static final double COLD_SIGMAS_WITH_PEERS = 1;
+    /**
+     * Slots that a cold worker may hold, as a multiple of what it can run, where other dispatchers announce
+     * their load.
+     */
+    private static final double COLD_OVERCOMMIT = 1.5;
+    /** How long a drawn job reserves a cold worker's quota, as a fraction of the overload window. */
+    private static final double COLD_QUOTA_WINDOW_FRACTION = 0.25;
+    /**
+     * Back-off after a failed connection, in periods. It is longer than after other failures, because an
+     * absent worker uses up the attempts of job after job.
+     */
+    private static final int CONNECT_FAILURE_PERIODS = 32;
+    /** Maximum number of doublings of a worker's back-off. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 6;
+    /**
+     * Maximum number of doublings of the back-off between list requests. Data from discovery counts as known
+     * a few seconds after a change, so the delays stay below 1 s.
+     */
+    private static final int MAX_LIST_BACKOFF_DOUBLINGS = 1;
+    /** First delay before the worker list is requested again after a failure. */
+    private static final long LIST_BACKOFF_MICROS = 250_000;
 
     private final Settings settings;
-    private final Actions out;
+    private final Actions actions;
     private final SplittableRandom random;
-    private final long period;
-    private final double floor;
-    private final Good[] goods;
-    private final Ledger ledger;
-    private final List<Seller> sellers;
-    private final List<Job> held = new ArrayList<>();
-    private final List<Attempt> open = new ArrayList<>();
-    private final long[] longestTry;
-    private final Shares shares;
-    private double hold;
-    private Good lastAsked;
-    private double part = 1;
+    private final long periodMicros;
+    private final double priceFloor;
+    private final Commodity[] commodities;
+    private final MarketState state;
+    private final List<WorkerMarket> markets;
+    private final List<PendingJob> heldJobs = new ArrayList<>();
+    private final List<JobAttempt> openAttempts = new ArrayList<>();
+    private final long[] longestTimeLimit;
+    private final TenantShares tenantShares;
+    /** Mean cost of a job in slot-microseconds, updated each period. */
+    private double meanJobCost;
+
+    private Commodity lastRequested;
+    /** Fraction of the workers that this dispatcher trades with. */
+    private double tradedFraction = 1;
+
     private final Gossip gossip;
-    private final Prober prober;
-    private long nextPeriod;
-    private long askListAt = Long.MAX_VALUE;
+    private final ProbeRateLimiter probeRateLimiter;
+    private long nextPeriodAt;
+    private long retryListAt = Long.MAX_VALUE;
     private int listFailures;
-    private long turn;
+    private long fillRound;
 
     public Choice(Settings settings, long seed, long now, Actions actions) {
         this.settings = settings;
-        this.out = actions;
+        this.actions = actions;
         this.random = new SplittableRandom(seed);
-        ledger = new Ledger(settings.cold());
-        sellers = ledger.sellers;
+        state = new MarketState(settings.coldStart());
+        markets = state.markets;
         List<JobClass> classes = settings.classes();
-        long shortest = Long.MAX_VALUE;
-        goods = new Good[classes.size() * Ledger.WIDTHS];
-        for (int i = 0; i < goods.length; i++) {
-            goods[i] = new Good(classes.get(i / Ledger.WIDTHS), i);
-            shortest = Math.min(shortest, goods[i].of.aim());
-        }
-        floor = Math.max(1e-3, Math.min(settings.overShareWorth(), 1 / PRICE_SPAN));
-        period = Math.max(1_000, shortest / PERIODS_IN_AIM);
-        longestTry = new long[classes.size()];
-        shares = new Shares(settings.tenants(), settings.dispatchers());
-        ledger.fetch = period;
-        ledger.clock(now);
-        Signs may = settings.signs();
-        gossip = !may.peers() ? null : new Gossip(settings.dispatchers(), may.peerPrice(), (int) random.nextLong());
-        prober = may.probes() && may.reportsByProbe() ? new Prober(settings.dispatchers(), may.probePrice()) : null;
-        // Danger: dispatchers whose periods align swing together, so the seed spreads their phase.
-        nextPeriod = now + 1 + random.nextLong(period);
-        out.timerAt(nextPeriod);
-        if (settings.listOnRequest()) {
-            out.watchList();
-        }
-    }
-
-    // ---- a request arrives ----
+        long shortestTarget = Long.MAX_VALUE;
+        commodities = new Commodity[classes.size() * MarketState.WIDTH_BANDS];
+        for (int i = 0; i < commodities.length; i++) {
+            commodities[i] = new Commodity(classes.get(i / MarketState.WIDTH_BANDS), i);
+            shortestTarget = Math.min(shortestTarget, commodities[i].jobClass.targetTime());
+        }
+        priceFloor = Math.max(1e-3, Math.min(settings.overShareValue(), 1 / PRICE_SPAN));
+        periodMicros = Math.max(1_000, shortestTarget / PERIODS_PER_TARGET);
+        longestTimeLimit = new long[classes.size()];
+        tenantShares = new TenantShares(settings.tenants(), settings.dispatchers());
+        state.fetchMicros = periodMicros;
+        state.advanceClock(now);
+        LoadSources sources = settings.loadSources();
+        gossip = !sources.peers()
+                ? null
+                : new Gossip(settings.dispatchers(), sources.peerPrice(), (int) random.nextLong());
+        probeRateLimiter = sources.probes() && sources.reportsOnlyByProbe()
+                ? new ProbeRateLimiter(settings.dispatchers(), sources.probePrice())
+                : null;
+        // Dispatchers with aligned periods would oscillate together, so each starts at a random phase.
+        nextPeriodAt = now + 1 + random.nextLong(periodMicros);
+        actions.timerAt(nextPeriodAt);
+        if (settings.listOnDemand()) {
+            actions.watchList();
+        }
+    }
+
+    // ---- arrival of a request ----
 
     @Override
     public void request(
@@ -128,66 +166,100 @@
             long timeLeft,
             double slots,
             double memory,
-            Effect atLeast,
-            long hint,
-            boolean doubtful) {
-        ledger.clock(now);
-        if (jobClass < 0 || jobClass >= longestTry.length || ledger.jobs.containsKey(id)) {
+            Effect minEffect,
+            long workHint,
+            boolean possibleRepeat) {
+        state.advanceClock(now);
+        if (jobClass < 0 || jobClass >= longestTimeLimit.length || state.jobs.containsKey(id)) {
             throw new IllegalArgumentException("request " + id + ": unknown class or id still held");
         }
-        double taken = Math.max(1, Math.max(slots, memory));
-        Good good = goods[jobClass * Ledger.WIDTHS + (taken <= 1 ? 0 : taken <= 2 ? 1 : taken <= 4 ? 2 : 3)];
-        lastAsked = good;
-        good.asked(taken, hint);
-        longestTry[jobClass] = Math.max(longestTry[jobClass], timeLeft);
-        long age = timeLeft < longestTry[jobClass] ? Math.max(0, good.of.deadline() - timeLeft) : 0;
-        // Danger: where nothing marks repeats, late ones would crowd out those that can be in time.
-        boolean overShare = !shares.within(tenant, age < period && !doubtful) || doubtful;
-        double worth = good.of.worth() * (overShare ? settings.overShareWorth() : 1);
-        double size = good.size(hint);
-        long bestBy = now - age + (long) (good.of.aim() + Math.max(0, good.of.stretch() - 1) * good.run * size) / 2;
-        Job job = new Job(
-                id, now, good, key, taken, memory, worth, overShare, bestBy, now + timeLeft, atLeast, hint, size);
-        ledger.jobs.put(id, job);
-        ledger.keySeen(key);
-        if (overShare || now > job.bestBy || hopeless(job, now) || !offer(job, now)) {
-            hold(job, now);
-        }
-    }
-
-    /** Offers a job to the market: true if a worker with quota took it. */
-    private boolean offer(Job job, long now) {
-        Good good = job.good;
-        boolean home = settings.crossZonePrice() > 0 && now - job.arrived < period;
-        double most = job.worthAt(now) < good.of.worth() ? job.worthAt(now) / good.of.worth() : Double.MAX_VALUE;
-        // Danger: worthless jobs fill the slots that worthy ones need; they buy only where prices are low.
-        Seller best = null;
-        double shortest = 0;
-        for (Seller s : sellers) {
-            boolean crosses = s.worker.zone() != settings.zone();
-            boolean shut = crosses && home && !s.owed || told() && cold(s, now) && !hasRoom(s, job, now);
-            if (shut || !able(s, job, now) || reportsFull(s, job, now) || s.price[good.index] > most) {
+        double units = Math.max(1, Math.max(slots, memory));
+        Commodity commodity = commodities[
+                jobClass * MarketState.WIDTH_BANDS + (units <= 1 ? 0 : units <= 2 ? 1 : units <= 4 ? 2 : 3)];
+        lastRequested = commodity;
+        commodity.recordRequest(units, workHint);
+        longestTimeLimit[jobClass] = Math.max(longestTimeLimit[jobClass], timeLeft);
+        long age = timeLeft < longestTimeLimit[jobClass] ? Math.max(0, commodity.jobClass.deadline() - timeLeft) : 0;
+        // Where repeats are not marked as such, late ones would crowd out jobs that can still be answered in
+        // time.
+        boolean overShare = !tenantShares.tryAcquire(tenant, age < periodMicros && !possibleRepeat) || possibleRepeat;
+        double value = commodity.jobClass.value() * (overShare ? settings.overShareValue() : 1);
+        double sizeFactor = commodity.sizeFactor(workHint);
+        long latestFullValueStart = now
+                - age
+                + (long) (commodity.jobClass.targetTime()
+                                + Math.max(0, commodity.jobClass.runTimeFactor() - 1)
+                                        * commodity.runMicros
+                                        * sizeFactor)
+                        / 2;
+        PendingJob job = new PendingJob(
+                id,
+                now,
+                commodity,
+                key,
+                units,
+                memory,
+                value,
+                overShare,
+                latestFullValueStart,
+                now + timeLeft,
+                minEffect,
+                workHint,
+                sizeFactor);
+        state.jobs.put(id, job);
+        state.countKey(key);
+        if (overShare || now > job.latestFullValueStart || unservable(job, now) || !offer(job, now)) {
+            holdOrGiveUp(job, now);
+        }
+    }
+
+    /** Offers a job to the markets; true if a worker with quota took it. */
+    private boolean offer(PendingJob job, long now) {
+        Commodity commodity = job.commodity;
+        boolean preferOwnZone = settings.crossZonePrice() > 0 && now - job.arrivedAt < periodMicros;
+        double maxPrice = job.valueAt(now) < commodity.jobClass.value()
+                ? job.valueAt(now) / commodity.jobClass.value()
+                : Double.MAX_VALUE;
+        // Jobs of reduced value buy only where prices are low, or they would fill the slots that jobs of full
+        // value need.
+        WorkerMarket best = null;
+        double lowestCost = 0;
+        for (WorkerMarket market : markets) {
+            boolean crosses = market.worker.zone() != settings.zone();
+            boolean excluded = crosses && preferOwnZone && !market.needsTrialJob
+                    || peersHeard() && isCold(market, now) && !coldWorkerHasRoom(market, job, now);
+            if (excluded
+                    || !mayRun(market, job, now)
+                    || reportedFull(market, job, now)
+                    || market.price[commodity.index] > maxPrice) {
                 continue;
             }
-            if (s.quota[good.index] <= 0) {
-                s.move(good, 1 + LAMBDA, floor, PRICE_SPAN);
-                // Danger: shares are parts of a slot: who keeps a key seldom has quota; it sells on credit.
-                boolean keeps = job.key != 0 && s.samples != 0 && ledger.miss(s, job.key) <= 0.5;
-                if (!keeps || !takesJobs(s, now) || cold(s, now) || s.credit < -s.cost(good)) {
+            if (market.quota[commodity.index] <= 0) {
+                market.adjustPrice(commodity, 1 + PRICE_STEP, priceFloor, PRICE_SPAN);
+                // Shares are fractions of a slot, so a worker that has the key cached seldom has quota left; it
+                // sells on credit.
+                boolean cachesKey =
+                        job.key != 0 && market.runSamples != 0 && state.missProbability(market, job.key) <= 0.5;
+                if (!cachesKey
+                        || !acceptsJobs(market, now)
+                        || isCold(market, now)
+                        || market.credit < -market.cost(commodity)) {
                     continue;
                 }
             }
-            // Danger: a worker that fails what it starts has short queues, and would draw job after job.
-            // What must not run twice is lost with the first failure, however soon that comes.
-            double run = (runAt(s, job) + wait(s, job, now)) * (1 + s.errors)
-                    + (job.effect == Effect.UNSAFE ? LOST * s.faulty * good.inTime() : 0)
-                    + (crosses ? CROSSING * settings.crossZonePrice() * good.inTime() : 0);
-            if (s.owed && job.effect == Effect.SAFE) {
-                run = 0;
+            // A worker that fails jobs quickly has short queues and would attract more of them. An unsafe job is
+            // lost with its first failure, however fast the worker fails it.
+            double cost = (expectedRun(market, job) + expectedWait(market, job, now)) * (1 + market.recentErrors)
+                    + (job.effect == Effect.UNSAFE
+                            ? UNSAFE_FAILURE_FACTOR * market.errorRate * commodity.fullValueMicros()
+                            : 0)
+                    + (crosses ? ZONE_CROSSING_FACTOR * settings.crossZonePrice() * commodity.fullValueMicros() : 0);
+            if (market.needsTrialJob && job.effect == Effect.SAFE) {
+                cost = 0;
             }
-            if (best == null || run < shortest || run == shortest && s.tie < best.tie) {
-                best = s;
-                shortest = run;
+            if (best == null || cost < lowestCost || cost == lowestCost && market.tieBreak < best.tieBreak) {
+                best = market;
+                lowestCost = cost;
             }
         }
         if (best != null) {
@@ -197,240 +269,273 @@
     }
 
     /**
-     * How long a job is likely to wait there, by what reports tell of others' jobs, by own jobs out there and
-     * by how long the last one waited. Danger: of many dispatchers each sees too few jobs for shares to tell
-     * of a queue in time; by run time alone all would fill the quickest workers and leave the others idle.
+     * Expected queueing time of a job at a worker, from the reported load of other dispatchers, own open jobs
+     * there and the last observed start delay. With many dispatchers, each sees too few jobs for its shares
+     * to react to a queue in time; ranking workers by run time alone would overload the fastest ones and
+     * leave the others idle.
      */
-    private double wait(Seller s, Job job, long now) {
-        double slots = ledger.slots(s) * ledger.warmth(s, now);
-        double beyond = job.slots + s.busy + s.out - slots;
-        return hold * s.pace / slots * (beyond + Math.sqrt(beyond * beyond + UNSURE * slots)) / 2
-                + s.waited * Math.exp((s.waitedAt - now) / WAIT_MEMORY);
+    private double expectedWait(WorkerMarket market, PendingJob job, long now) {
+        double slots = state.slotCapacity(market) * state.warmUpFraction(market, now);
+        double excess = job.slots + market.peerSlots + market.outstandingSlots - slots;
+        return meanJobCost
+                        * market.runTimeRatio
+                        / slots
+                        * (excess + Math.sqrt(excess * excess + QUEUE_UNCERTAINTY_SLOTS * slots))
+                        / 2
+                + market.lastStartDelay * Math.exp((market.lastStartDelayAt - now) / START_DELAY_DECAY_MICROS);
     }
 
-    private double runAt(Seller s, Job job) {
-        return job.good.run * job.size * s.pace + ledger.fetch * ledger.miss(s, job.key);
+    private double expectedRun(WorkerMarket market, PendingJob job) {
+        return job.commodity.runMicros * job.sizeFactor * market.runTimeRatio
+                + state.fetchMicros * state.missProbability(market, job.key);
     }
 
-    private double even(Seller s) {
-        return ledger.slots(s) / settings.dispatchers() / part;
+    private double evenShare(WorkerMarket market) {
+        return state.slotCapacity(market) / settings.dispatchers() / tradedFraction;
     }
 
-    private static boolean takesJobs(Seller s, long now) {
-        return s.state == WorkerState.READY && !s.queueing && now >= s.barredUntil;
+    private static boolean acceptsJobs(WorkerMarket market, long now) {
+        return market.state == WorkerState.READY && !market.queueing && now >= market.backoffUntil;
     }
 
     @Override
     public boolean avoids(long now, long worker) {
-        Seller s = ledger.seller(worker);
-        return s == null || !takesJobs(s, now);
+        WorkerMarket market = state.market(worker);
+        return market == null || !acceptsJobs(market, now);
     }
 
     @Override
-    public Learned learned(long now) {
-        return ledger.learned(goods, now);
+    public LearnedState learned(long now) {
+        return state.exportLearned(commodities, now);
     }
 
     @Override
-    public void recall(long now, Learned learned) {
-        ledger.recall(learned, goods, now);
+    public void recall(long now, LearnedState learned) {
+        state.importLearned(learned, commodities, now);
     }
 
-    private boolean cold(Seller s, long now) {
-        return ledger.warmth(s, now) < 1;
-    }
-
-    /** No room by its report, less what was sent since; believed for as long as a slot takes to free. */
-    private boolean reportsFull(Seller s, Job job, long now) {
-        return (s.freeSlots < 0.5 || s.freeMemory < job.memory)
-                && now - s.reportAt < job.good.run * s.pace / ledger.slots(s);
+    private boolean isCold(WorkerMarket market, long now) {
+        return state.warmUpFraction(market, now) < 1;
     }
 
     /**
-     * A cold worker may hold a little more than it can run, up to half of what would push it over with the
-     * jobs that it ends meanwhile; the other half is for those not heard of yet.
+     * The last load report, less what was sent since, leaves no room for the job. The report is trusted for
+     * as long as a slot takes to become free.
      */
-    private boolean hasRoom(Seller s, Job job, long now) {
-        Cold cold = settings.cold();
-        double more = (cold.fallMultiple() - 1) * cold.fallWindow() / 2 / (hold * s.pace);
-        double most = ledger.slots(s) * ledger.warmth(s, now) * Math.min(COLD_QUEUE, more);
-        return s.busy + s.out <= 0 || job.slots + s.busy + s.out <= most;
+    private boolean reportedFull(WorkerMarket market, PendingJob job, long now) {
+        return (market.freeSlots < 0.5 || market.freeMemory < job.memory)
+                && now - market.reportedAt < job.commodity.runMicros * market.runTimeRatio / state.slotCapacity(market);
     }
 
-    private boolean able(Seller s, Job job, long now) {
-        JobClass of = job.good.of;
-        boolean otherKind = of.machineKind() >= 0 && s.worker.kind() != of.machineKind();
-        if (s.state != WorkerState.READY || otherKind || job.wasSentTo(s)) {
+    /**
+     * Whether a cold worker can hold another job. It may hold slightly more than it can run, up to half of
+     * what would overload it, counting the jobs that it completes meanwhile; the other half is left for
+     * dispatchers whose announcements have not arrived yet.
+     */
+    private boolean coldWorkerHasRoom(WorkerMarket market, PendingJob job, long now) {
+        Cold cold = settings.coldStart();
+        double overcommit =
+                (cold.overloadFactor() - 1) * cold.overloadWindow() / 2 / (meanJobCost * market.runTimeRatio);
+        double maxSlots =
+                state.slotCapacity(market) * state.warmUpFraction(market, now) * Math.min(COLD_OVERCOMMIT, overcommit);
+        return market.peerSlots + market.outstandingSlots <= 0
+                || job.slots + market.peerSlots + market.outstandingSlots <= maxSlots;
+    }
+
+    private boolean mayRun(WorkerMarket market, PendingJob job, long now) {
+        JobClass jobClass = job.commodity.jobClass;
+        boolean otherKind = jobClass.machineKind() >= 0 && market.worker.kind() != jobClass.machineKind();
+        if (market.state != WorkerState.READY || otherKind || job.wasSentTo(market)) {
             return false;
         }
-        // Danger: a repeat of a keyed job is dropped only by its group, and only for so long.
-        Attempt first = job.mayHaveRun();
-        boolean inWindow = first != null && now + period < first.sentAt + of.dedupWindow();
-        boolean dropped = inWindow && job.effect == Effect.KEYED && sameGroup(of, s.worker, first.seller.worker);
-        return job.effect == Effect.SAFE || first == null || dropped;
+        // A repeat of a keyed job is deduplicated only within its group, and only for the length of the window.
+        JobAttempt firstRun = job.firstPossibleRun();
+        boolean inWindow = firstRun != null && now + periodMicros < firstRun.sentAt + jobClass.dedupWindow();
+        boolean deduplicated =
+                inWindow && job.effect == Effect.KEYED && sameGroup(jobClass, market.worker, firstRun.market.worker);
+        return job.effect == Effect.SAFE || firstRun == null || deduplicated;
     }
 
-    private static boolean sameGroup(JobClass of, Worker a, Worker b) {
-        return of.group() == Group.ALL || a.zone() == b.zone() && (of.group() == Group.ZONE || a.cell() == b.cell());
+    private static boolean sameGroup(JobClass jobClass, Worker a, Worker b) {
+        return jobClass.group() == Group.ALL
+                || a.zone() == b.zone() && (jobClass.group() == Group.ZONE || a.cell() == b.cell());
     }
 
-    private void send(Job job, Seller s, long now) {
-        Attempt a = new Attempt(job, s, now, runAt(s, job), ledger.miss(s, job.key));
-        open.add(a);
-        s.sold(job.good, cold(s, now));
-        ledger.sent(a);
-        out.send(job.id, s.worker.id());
+    private void send(PendingJob job, WorkerMarket market, long now) {
+        JobAttempt a =
+                new JobAttempt(job, market, now, expectedRun(market, job), state.missProbability(market, job.key));
+        openAttempts.add(a);
+        market.consumeQuota(job.commodity, isCold(market, now));
+        state.recordSent(a);
+        actions.send(job.id, market.worker.id());
     }
 
-    // ---- what nobody took waits a period ----
+    // ---- jobs held for the next period ----
 
-    private void hold(Job job, long now) {
-        if (hopeless(job, now)) {
+    private void holdOrGiveUp(PendingJob job, long now) {
+        if (unservable(job, now)) {
             giveUp(job);
         } else {
-            job.isHeld = true;
-            held.add(job);
+            job.held = true;
+            heldJobs.add(job);
         }
     }
 
-    /** Danger: holding past the time in which the answer is worth something fills slots with late jobs. */
-    private boolean hopeless(Job job, long now) {
-        boolean late = now > job.bestBy && (job.overShare || job.good.of.lateShare() <= 0);
-        boolean spent = job.deadline <= now + 2 * period || job.attempts.size() >= settings.maxAttempts();
-        return late || spent || job.effect == Effect.UNSAFE && job.mayHaveRun() != null;
+    /**
+     * Whether a job can't be answered with any value any more. Holding it longer would fill slots with late
+     * jobs.
+     */
+    private boolean unservable(PendingJob job, long now) {
+        boolean late =
+                now > job.latestFullValueStart && (job.overShare || job.commodity.jobClass.lateValueFactor() <= 0);
+        boolean exhausted = job.deadline <= now + 2 * periodMicros || job.attempts.size() >= settings.maxAttempts();
+        return late || exhausted || job.effect == Effect.UNSAFE && job.firstPossibleRun() != null;
     }
 
-    /** The final answer to a job that won't be served: refused where that is lawful, else failed. */
-    private void giveUp(Job job) {
-        boolean ran = job.effect != Effect.SAFE && job.mayHaveRun() != null;
-        close(job, false);
-        if (!ran || job.effect == Effect.KEYED && job.good.of.group() == Group.ALL) {
-            out.refuse(job.id, settings.maxRetryAfter());
+    /**
+     * Sends the final answer to a job that won't be served: a refusal if it has certainly not run or can
+     * safely be sent again, else a failure.
+     */
+    private void giveUp(PendingJob job) {
+        boolean mayHaveRun = job.effect != Effect.SAFE && job.firstPossibleRun() != null;
+        finish(job, false);
+        if (!mayHaveRun || job.effect == Effect.KEYED && job.commodity.jobClass.group() == Group.ALL) {
+            actions.refuse(job.id, settings.maxRetryAfter());
         } else {
-            out.fail(job.id);
+            actions.fail(job.id);
         }
     }
 
-    /** The job is over; attempts still out are called off, and keep it known until they end. */
-    private void close(Job job, boolean inTime) {
-        boolean first = !job.over;
-        ledger.count(job, settings.goal(), inTime);
-        job.over = true;
-        job.isHeld = false;
-        for (int i = 0; i < job.attempts.size() && first && settings.mayCancel(); i++) {
+    /** Finishes a job and cancels its open attempts. The job stays registered until those have ended. */
+    private void finish(PendingJob job, boolean servedInTime) {
+        boolean firstTime = !job.finished;
+        state.recordService(job, settings.objective(), servedInTime);
+        job.finished = true;
+        job.held = false;
+        for (int i = 0; i < job.attempts.size() && firstTime && settings.mayCancel(); i++) {
             if (!job.attempts.get(i).ended) {
-                out.cancel(job.id, i);
+                actions.cancel(job.id, i);
             }
         }
-        if (job.out == 0) {
-            ledger.jobs.remove(job.id);
+        if (job.openAttempts == 0) {
+            state.jobs.remove(job.id);
         }
     }
 
-    // ---- a period ends ----
+    // ---- end of a period ----
 
     @Override
     public void timer(long now) {
-        ledger.clock(now);
-        if (now < nextPeriod) {
+        state.advanceClock(now);
+        if (now < nextPeriodAt) {
             return;
         }
-        nextPeriod = Math.max(nextPeriod + period, now + 1);
-        ledger.values(goods, settings.goal(), now);
-        held.forEach(job -> job.bid = job.bid(settings.goal(), now));
-        held.sort((a, b) -> Double.compare(b.bid, a.bid));
+        nextPeriodAt = Math.max(nextPeriodAt + periodMicros, now + 1);
+        state.updateValues(commodities, settings.objective(), now);
+        heldJobs.forEach(job -> job.bid = job.bid(settings.objective(), now));
+        heldJobs.sort((a, b) -> Double.compare(b.bid, a.bid));
         offerHeld(now, true);
-        ledger.lapse(now);
-        watchAttempts(now);
-        shares.refill(period, gossip);
-        centrePaces(now);
-        gossip(now);
-        probe(now);
-        sellers.forEach(s -> supply(s, now));
+        state.expireAbandonedAttempts(now);
+        checkStartDelays(now);
+        tenantShares.refill(periodMicros, gossip);
+        normalizeRunTimes(now);
+        exchangeLoad(now);
+        sendProbes(now);
+        markets.forEach(market -> startPeriod(market, now));
         offerHeld(now, false);
-        held.removeIf(j -> !j.isHeld);
-        if (now >= askListAt) {
-            askListAt = Long.MAX_VALUE;
-            out.watchList();
+        heldJobs.removeIf(job -> !job.held);
+        if (now >= retryListAt) {
+            retryListAt = Long.MAX_VALUE;
+            actions.watchList();
         }
-        out.timerAt(nextPeriod);
+        actions.timerAt(nextPeriodAt);
     }
 
-    private boolean told() {
-        return gossip != null && gossip.others() > 0;
+    private boolean peersHeard() {
+        return gossip != null && gossip.peerCount() > 0;
     }
 
-    /** Tells the others what is out, and counts what they have out where they were heard. */
-    private void gossip(long now) {
+    /** Announces own load to the other dispatchers, and takes over the load that they announced. */
+    private void exchangeLoad(long now) {
         if (gossip != null) {
-            gossip.expire(now);
-            if (gossip.due(now, shares.jobsPerSecond(), hold)) {
-                out.tell(ledger.message(gossip, shares.perSecond()));
+            gossip.expireSilentPeers(now);
+            if (gossip.isMessageDue(now, tenantShares.jobsPerSecond(), meanJobCost)) {
+                actions.tell(state.peerMessage(gossip, tenantShares.jobsPerSecondByTenant()));
             }
-            ledger.others(gossip);
+            state.applyPeerLoad(gossip);
         }
     }
 
     /**
-     * Asks those that were not asked for longest. What others tell of their jobs says more, for less; but how
-     * many slots a kind of worker has they do not tell, and who has just begun would offer one of each.
+     * Probes the workers that were not probed for the longest time. Announcements of other dispatchers say
+     * more about load at a lower price, but not how many slots a kind of worker has; a dispatcher that has
+     * just started would assume one slot each.
      */
-    private void probe(long now) {
-        int due = prober == null ? 0 : prober.due(now, sellers.size(), shares.jobsPerSecond());
-        for (Seller s : ledger.longestUnasked(due, told())) {
-            s.probedAt = now;
-            out.probe(s.worker.id());
+    private void sendProbes(long now) {
+        int count = probeRateLimiter == null
+                ? 0
+                : probeRateLimiter.takeDueProbes(now, markets.size(), tenantShares.jobsPerSecond());
+        for (WorkerMarket market : state.leastRecentlyProbed(count, peersHeard())) {
+            market.probedAt = now;
+            actions.probe(market.worker.id());
         }
     }
 
     @Override
     public void probed(long now, long worker, double freeSlots, double freeMemory) {
-        ledger.clock(now);
-        Seller s = ledger.seller(worker);
-        if (s != null) {
-            ledger.reported(s, now, freeSlots, freeMemory);
+        state.advanceClock(now);
+        WorkerMarket market = state.market(worker);
+        if (market != null) {
+            state.recordLoadReport(market, now, freeSlots, freeMemory);
         }
     }
 
     @Override
     public void heard(long now, int from, byte[] message) {
-        ledger.clock(now);
+        state.advanceClock(now);
         if (gossip != null) {
-            gossip.heard(now, from, message);
+            gossip.receive(now, from, message);
         }
     }
 
-    /** Jobs over their tenant's share, or late, take only what a period leaves over. */
-    private void offerHeld(long now, boolean leftover) {
-        for (int i = 0; i < held.size(); i++) {
-            Job job = held.get(i);
-            if (job.isHeld && hopeless(job, now)) {
+    /**
+     * Offers held jobs again. Jobs that are late or over their tenant's share get only the quota left over
+     * from the last period.
+     */
+    private void offerHeld(long now, boolean lowPriority) {
+        for (int i = 0; i < heldJobs.size(); i++) {
+            PendingJob job = heldJobs.get(i);
+            if (job.held && unservable(job, now)) {
                 giveUp(job);
-            } else if (job.isHeld && leftover == (job.overShare || now > job.bestBy)) {
+            } else if (job.held && lowPriority == (job.overShare || now > job.latestFullValueStart)) {
                 offer(job, now);
             }
         }
     }
 
     /**
-     * Finds where an own job waits, and offers a copy where its class bears one; the first to start goes on.
-     * Danger: where a cancel stops no work, each copy is a run for nothing, and nothing tells where. So a
-     * copy has to bid by the slot-second, as jobs do, what it is likely to save.
+     * Detects own jobs that have not started promptly, and offers a second attempt (hedge) where the class
+     * allows it; the attempt that starts first continues. Where a cancellation doesn't stop the work, every
+     * second attempt costs a full run, and the dispatcher can't detect this. The value that the hedge is
+     * expected to save must therefore pay for its slot-time, as with any job.
      */
-    private void watchAttempts(long now) {
-        double leastBid = COPY_PRICE * ledger.meanValue(goods) / hold;
-        sellers.forEach(s -> s.queueing = false);
-        for (int i = 0; i < open.size(); i++) {
-            Attempt a = open.get(i);
-            if (a.startedAt == 0 && now - a.sentAt > patience(a)) {
-                a.seller.queueing = true;
-                a.seller.waited = Math.max(a.seller.waited, now - a.sentAt);
-                a.seller.waitedAt = now;
-                queued(a);
-                boolean bears = settings.secondCopies() && a.job.out == 1 && !a.job.over && now <= a.job.bestBy;
-                if (bears
+    private void checkStartDelays(long now) {
+        double minBid = HEDGE_PRICE * state.meanValue(commodities) / meanJobCost;
+        markets.forEach(market -> market.queueing = false);
+        for (int i = 0; i < openAttempts.size(); i++) {
+            JobAttempt a = openAttempts.get(i);
+            if (a.startedAt == 0 && now - a.sentAt > promptStartLimit(a)) {
+                a.market.queueing = true;
+                a.market.lastStartDelay = Math.max(a.market.lastStartDelay, now - a.sentAt);
+                a.market.lastStartDelayAt = now;
+                markQueued(a);
+                boolean mayHedge = settings.hedging()
+                        && a.job.openAttempts == 1
+                        && !a.job.finished
+                        && now <= a.job.latestFullValueStart;
+                if (mayHedge
                         && a.job.attempts.size() + 1 < settings.maxAttempts()
-                        && ledger.saved(a, now) * a.job.bid(settings.goal(), now) > leastBid) {
+                        && state.hedgeBenefit(a, now) * a.job.bid(settings.objective(), now) > minBid) {
                     offer(a.job, now);
                 }
             }
@@ -438,97 +543,108 @@
     }
 
     /**
-     * How long a prompt start takes, or without start notices a prompt job: 1.5 learned run times. Danger: a
-     * connection that must be opened first takes further ways there and back, and says nothing of a queue.
+     * Longest delay of a prompt start; without start notices, of a prompt answer: 1.5 expected run times. A
+     * connection that must be opened first adds round trips, which don't indicate a queue.
+     */
+    private double promptStartLimit(JobAttempt a) {
+        double connectDelay =
+                Math.min((CONNECT_DELAY_FACTOR - 1) * a.market.minStartDelay, MAX_START_DELAY_PERIODS * periodMicros);
+        double allowance = settings.startNotices() ? START_SLACK_PERIODS * periodMicros : 1.5 * a.expectedMicros;
+        return a.market.minStartDelay + (a.opening ? connectDelay : 0) + allowance;
+    }
+
+    /**
+     * Normalizes run-time ratios to an average of 1, which is also the assumed ratio of a worker with no
+     * samples. Selects the fraction of workers to trade with: shares smaller than a job yield no
+     * observations, so with many dispatchers each uses a part of the workers, or all of them if that part
+     * can't or doesn't take a job within a period.
      */
-    private double patience(Attempt a) {
-        double further = Math.min((OPENING - 1) * a.seller.reach, LONGEST_REACH * period);
-        double usual = settings.startNotices() ? SLACK * period : 1.5 * a.expected;
-        return a.seller.reach + (a.opening ? further : 0) + usual;
+    private void normalizeRunTimes(long now) {
+        double ratioSum = 0;
+        double slotSum = 0;
+        for (WorkerMarket market : markets) {
+            ratioSum += market.runTimeRatio;
+            slotSum += state.slotCapacity(market);
+        }
+        double meanRatio = markets.isEmpty() ? 1 : ratioSum / markets.size();
+        tradedFraction = Math.min(1, MAX_SHARES_PER_SLOT * slotSum / markets.size() / settings.dispatchers());
+        boolean noneAvailable = true;
+        for (WorkerMarket market : markets) {
+            market.runTimeRatio /= meanRatio;
+            noneAvailable &= market.tieBreak > tradedFraction || !acceptsJobs(market, now);
+        }
+        tradedFraction = noneAvailable || heldJobs.stream().anyMatch(job -> job.heldLongerThan(periodMicros, now))
+                ? 1
+                : tradedFraction;
+        for (Commodity commodity : commodities) {
+            commodity.runMicros *= commodity.runCount > 0 ? meanRatio : 1;
+        }
+        meanJobCost = state.meanCost(commodities);
     }
 
     /**
-     * Average speed stays 1, as an unlearned worker is counted. Danger: shares too small for a job teach
-     * nothing, so few workers are traded with; all of them if the few can't or don't take a job in a period.
+     * Ends a worker's period, in which quota left over lowers its price, and sets the quotas of the next one.
      */
-    private void centrePaces(long now) {
-        double paces = 0;
-        double slots = 0;
-        for (Seller s : sellers) {
-            paces += s.pace;
-            slots += ledger.slots(s);
-        }
-        double mean = sellers.isEmpty() ? 1 : paces / sellers.size();
-        part = Math.min(1, SHARES_IN_SLOT * slots / sellers.size() / settings.dispatchers());
-        boolean stranded = true;
-        for (Seller s : sellers) {
-            s.pace /= mean;
-            stranded &= s.tie > part || !takesJobs(s, now);
-        }
-        part = stranded || held.stream().anyMatch(j -> j.waitsFor(period, now)) ? 1 : part;
-        for (Good g : goods) {
-            g.run *= g.runs > 0 ? mean : 1;
-        }
-        hold = ledger.meanCost(goods);
-    }
-
-    /** Ends a period, in which leftover lowered the price, and opens the quotas of the next. */
-    private void supply(Seller s, long now) {
-        if (now < s.lapses && takesJobs(s, now) && !s.soldOut()) {
+    private void startPeriod(WorkerMarket market, long now) {
+        if (now < market.coldQuotaUntil && acceptsJobs(market, now) && !market.quotaExhausted()) {
             return;
         }
-        double fresh = s.share * period;
-        double need = 0;
-        for (Good g : goods) {
-            need = g.requests > 0 ? Math.max(need, s.cost(g)) : need;
-            if (s.quota[g.index] > 0) {
-                s.move(g, 1 - LAMBDA * s.quota[g.index], floor, PRICE_SPAN);
+        double income = market.slotShare * periodMicros;
+        double largestCost = 0;
+        for (Commodity commodity : commodities) {
+            largestCost = commodity.requestCount > 0 ? Math.max(largestCost, market.cost(commodity)) : largestCost;
+            if (market.quota[commodity.index] > 0) {
+                market.adjustPrice(commodity, 1 - PRICE_STEP * market.quota[commodity.index], priceFloor, PRICE_SPAN);
             }
         }
-        s.credit = (need > fresh ? s.credit : Math.min(0, s.credit)) + fresh;
-        s.credit = Math.max(-need, Math.min(Math.max(fresh, need), s.credit));
-        s.closeQuotas();
-        boolean trades = takesJobs(s, now) && (s.owed || s.tie <= part);
-        if (trades && cold(s, now)) {
-            supplyCold(s, now);
+        market.credit = (largestCost > income ? market.credit : Math.min(0, market.credit)) + income;
+        market.credit = Math.max(-largestCost, Math.min(Math.max(income, largestCost), market.credit));
+        market.clearQuotas();
+        boolean trades = acceptsJobs(market, now) && (market.needsTrialJob || market.tieBreak <= tradedFraction);
+        if (trades && isCold(market, now)) {
+            supplyCold(market, now);
         } else if (trades) {
-            fill(s);
+            fillQuotas(market);
         }
-        if (trades && s.owed) {
-            welcome(s);
+        if (trades && market.needsTrialJob) {
+            grantTrialQuota(market);
         }
     }
 
     /**
-     * A worker that comes back, dear or cold, may be passed by for long: it gets the next safe job. Danger:
-     * one from every dispatcher at once must stay far below what pushes it over.
+     * Gives a worker that came back into service quota for the next safe job, because one that is expensive
+     * or cold might get no job for long. The limit keeps one such job from every dispatcher at once far below
+     * what overloads the worker.
      */
-    private void welcome(Seller s) {
-        Cold cold = settings.cold();
-        double most = cold.from() * ledger.slots(s) * cold.fallWindow() * cold.fallMultiple() / 2;
-        for (Good g : goods) {
-            boolean due =
-                    g.requests > 0 && g.of.effect() == Effect.SAFE && settings.dispatchers() * s.surely(g) <= most;
-            s.quota[g.index] = Math.max(due ? 1 : 0, s.quota[g.index]);
+    private void grantTrialQuota(WorkerMarket market) {
+        Cold cold = settings.coldStart();
+        double limit =
+                cold.initialFraction() * state.slotCapacity(market) * cold.overloadWindow() * cold.overloadFactor() / 2;
+        for (Commodity commodity : commodities) {
+            boolean eligible = commodity.requestCount > 0
+                    && commodity.jobClass.effect() == Effect.SAFE
+                    && settings.dispatchers() * market.conservativeCost(commodity) <= limit;
+            market.quota[commodity.index] = Math.max(eligible ? 1 : 0, market.quota[commodity.index]);
         }
     }
 
     /**
-     * A job of each good in turn, the dearest by the slot-second first, until the slot-seconds are used up:
-     * what is scarce goes to the dearest, what is ample to all. If the dearest doesn't fit, its credit waits.
+     * Fills quotas with one job of each commodity in turn, those with the highest price per slot-second
+     * first, until the credit is used up: scarce capacity goes to the most valuable commodities, ample
+     * capacity to all. If the first one doesn't fit, the credit is saved for it.
      */
-    private void fill(Seller s) {
-        boolean unlearned = s.samples == 0;
-        double budget = s.credit;
-        int before = -1;
-        for (int sold = 0; sold > before; ) {
-            before = unlearned ? Integer.MAX_VALUE : sold;
-            turn++;
-            for (Good g = dearest(s); g != null; g = dearest(s)) {
-                g.turn = turn;
-                if (unlearned || budget >= s.cost(g)) {
-                    s.quota[g.index]++;
-                    budget -= s.cost(g);
+    private void fillQuotas(WorkerMarket market) {
+        boolean unlearned = market.runSamples == 0;
+        double budget = market.credit;
+        int soldBefore = -1;
+        for (int sold = 0; sold > soldBefore; ) {
+            soldBefore = unlearned ? Integer.MAX_VALUE : sold;
+            fillRound++;
+            for (Commodity commodity = mostValuable(market); commodity != null; commodity = mostValuable(market)) {
+                commodity.fillRound = fillRound;
+                if (unlearned || budget >= market.cost(commodity)) {
+                    market.quota[commodity.index]++;
+                    budget -= market.cost(commodity);
                     sold++;
                 } else if (sold == 0) {
                     return;
@@ -537,169 +653,195 @@
         }
     }
 
-    /** The dearest good, by the slot-second, that has not had its turn. */
-    private Good dearest(Seller s) {
-        Good best = null;
-        double most = 0;
-        for (Good g : goods) {
-            double bySlot = s.price[g.index] * g.value / g.cost();
-            if (g.requests > 0 && g.turn < turn && (best == null || bySlot > most)) {
-                best = g;
-                most = bySlot;
+    /** The commodity with the highest price per slot-second that has not been considered in this round. */
+    private Commodity mostValuable(WorkerMarket market) {
+        Commodity best = null;
+        double highest = 0;
+        for (Commodity commodity : commodities) {
+            double valuePerSlot = market.price[commodity.index] * commodity.weightedValue / commodity.cost();
+            if (commodity.requestCount > 0
+                    && commodity.fillRound < fillRound
+                    && (best == null || valuePerSlot > highest)) {
+                best = commodity;
+                highest = valuePerSlot;
             }
         }
         return best;
     }
 
     /**
-     * Danger: dispatchers that each save up a job for a cold worker send them together and push it over. So
-     * its quota is drawn by lot, a job at a time, at a rate that keeps the sum of all under its limit, at the
-     * slowest warming allowed, by some standard deviations; by fewer where the others tell what they have
-     * there. A good is drawn as often as it is asked for.
+     * Sets the quota of a cold worker. Dispatchers that each saved up credit for a cold worker would send
+     * their jobs together and overload it. Its quota is therefore drawn at random, one job at a time, at a
+     * rate that keeps the sum over all dispatchers below the overload limit at the slowest warm-up allowed,
+     * by a margin of several standard deviations; the margin is smaller where other dispatchers announce
+     * their load. Commodities are drawn in proportion to their demand.
      */
-    private void supplyCold(Seller s, long now) {
-        Cold cold = settings.cold();
-        double capacity = ledger.warmth(s, now) * ledger.slots(s) * cold.fallWindow();
-        Good g = lastAsked;
-        double cost = g == null ? capacity : s.surely(g);
-        double sigmas = told() ? TOLD_SIGMAS : COLD_SIGMAS;
+    private void supplyCold(WorkerMarket market, long now) {
+        Cold cold = settings.coldStart();
+        double capacity = state.warmUpFraction(market, now) * state.slotCapacity(market) * cold.overloadWindow();
+        Commodity commodity = lastRequested;
+        double cost = commodity == null ? capacity : market.conservativeCost(commodity);
+        double sigmas = peersHeard() ? COLD_SIGMAS_WITH_PEERS : COLD_SIGMAS;
         double root =
-                (Math.sqrt(sigmas * sigmas * cost + 4 * cold.fallMultiple() * capacity) - sigmas * Math.sqrt(cost)) / 2;
-        double jobs = Math.min(root * root / (1 + TOKEN), 2 * capacity) / cost / settings.dispatchers();
-        boolean drawn = g != null && random.nextDouble() < jobs * period / cold.fallWindow();
-        s.lapses = drawn ? now + (long) (TOKEN * cold.fallWindow()) : 0;
-        for (Good other : goods) {
-            s.quota[other.index] = drawn && other.requests > 0 && s.surely(other) <= cost ? 1 : 0;
+                (Math.sqrt(sigmas * sigmas * cost + 4 * cold.overloadFactor() * capacity) - sigmas * Math.sqrt(cost))
+                        / 2;
+        double jobs =
+                Math.min(root * root / (1 + COLD_QUOTA_WINDOW_FRACTION), 2 * capacity) / cost / settings.dispatchers();
+        boolean drawn = commodity != null && random.nextDouble() < jobs * periodMicros / cold.overloadWindow();
+        market.coldQuotaUntil = drawn ? now + (long) (COLD_QUOTA_WINDOW_FRACTION * cold.overloadWindow()) : 0;
+        for (Commodity other : commodities) {
+            market.quota[other.index] =
+                    drawn && other.requestCount > 0 && market.conservativeCost(other) <= cost ? 1 : 0;
         }
     }
 
-    // ---- word of an attempt ----
+    // ---- events of an attempt ----
 
     @Override
     public void started(long now, long request, int attempt) {
-        ledger.clock(now);
-        Attempt a = ledger.attempt(request, attempt);
+        state.advanceClock(now);
+        JobAttempt a = state.openAttempt(request, attempt);
         if (a == null || a.startedAt > 0) {
             return;
         }
-        Seller s = a.seller;
-        ledger.began(a, now);
-        s.waited = now - a.sentAt > patience(a) ? now - a.sentAt : 0;
-        s.waitedAt = now;
-        judge(a, now);
-        int copy = a.job.otherCopy(a);
-        if (copy >= 0) {
-            out.cancel(request, a.job.attempts.get(copy).startedAt > 0 ? attempt : copy);
+        WorkerMarket market = a.market;
+        state.recordStarted(a, now);
+        market.lastStartDelay = now - a.sentAt > promptStartLimit(a) ? now - a.sentAt : 0;
+        market.lastStartDelayAt = now;
+        adjustShare(a, now);
+        int other = a.job.otherOpenAttempt(a);
+        if (other >= 0) {
+            actions.cancel(request, a.job.attempts.get(other).startedAt > 0 ? attempt : other);
         }
     }
 
     @Override
     public void opening(long request, int attempt) {
-        Attempt a = ledger.attempt(request, attempt);
+        JobAttempt a = state.openAttempt(request, attempt);
         if (a != null) {
             a.opening = true;
         }
     }
 
-    /** Danger: a share that grows while it is not used lets a burst through; only one in use is tried. */
-    private void judge(Attempt a, long now) {
-        Seller s = a.seller;
-        if (now - a.sentAt > patience(a)) {
-            queued(a);
-        } else if (s.running >= s.share / 2) {
-            s.share = Math.min(ledger.slots(s), s.share + GROW * even(s));
+    /**
+     * Adjusts the share of a worker by a start. Only a share that is in use grows, since a share that grew
+     * while idle would let a burst through.
+     */
+    private void adjustShare(JobAttempt a, long now) {
+        WorkerMarket market = a.market;
+        if (now - a.sentAt > promptStartLimit(a)) {
+            markQueued(a);
+        } else if (market.runningSlots >= market.slotShare / 2) {
+            market.slotShare =
+                    Math.min(state.slotCapacity(market), market.slotShare + SHARE_GROWTH * evenShare(market));
         }
     }
 
-    private void queued(Attempt a) {
+    private void markQueued(JobAttempt a) {
         if (!a.queued) {
             a.queued = true;
-            a.seller.share = Math.max(even(a.seller) / PRICE_SPAN, a.seller.share * (1 - SHRINK));
+            a.market.slotShare = Math.max(evenShare(a.market) / PRICE_SPAN, a.market.slotShare * (1 - SHARE_DECREASE));
         }
     }
 
     @Override
     public void ended(
-            long now, long request, int attempt, Outcome outcome, boolean over, double freeSlots, double freeMemory) {
-        ledger.clock(now);
-        Attempt a = ledger.attempt(request, attempt);
+            long now,
+            long request,
+            int attempt,
+            Outcome outcome,
+            boolean requestFinished,
+            double freeSlots,
+            double freeMemory) {
+        state.advanceClock(now);
+        JobAttempt a = state.openAttempt(request, attempt);
         if (a == null) {
             return;
         }
-        Job job = a.job;
-        Seller s = a.seller;
-        open.remove(a);
-        double start = a.startedAt > 0 ? a.startedAt : now + wait(s, job, now);
-        ledger.ended(a, now, outcome, (long) (start + a.expected));
-        ledger.reported(s, now, freeSlots, freeMemory);
+        PendingJob job = a.job;
+        WorkerMarket market = a.market;
+        openAttempts.remove(a);
+        double start = a.startedAt > 0 ? a.startedAt : now + expectedWait(market, job, now);
+        state.recordEnded(a, now, outcome, (long) (start + a.expectedMicros));
+        state.recordLoadReport(market, now, freeSlots, freeMemory);
         switch (outcome) {
-            case SERVED -> learn(a, now);
+            case SERVED -> learnFromServed(a, now);
             case REJECTED -> {
-                queued(a);
-                s.credit = Math.min(0, s.credit);
-                bar(s, now, (long) (job.good.run * s.pace / ledger.slots(s)));
+                markQueued(a);
+                market.credit = Math.min(0, market.credit);
+                backOff(market, now, (long)
+                        (job.commodity.runMicros * market.runTimeRatio / state.slotCapacity(market)));
             }
             case ERROR -> {
-                s.errors++;
-                bar(s, now, period);
+                market.recentErrors++;
+                backOff(market, now, periodMicros);
             }
-            case CONNECT_FAILED -> bar(s, now, GONE * period);
+            case CONNECT_FAILED -> backOff(market, now, CONNECT_FAILURE_PERIODS * periodMicros);
             case NOT_SENT, CANCELLED -> {}
-            default -> bar(s, now, period);
+            default -> backOff(market, now, periodMicros);
         }
-        if (over || job.over) {
-            double most = job.good.of.aim() + job.good.of.stretch() * job.good.run * job.size;
-            close(job, outcome == Outcome.SERVED && now - job.arrived <= most);
-        } else if (job.out == 0) {
-            hold(job, now);
+        if (requestFinished || job.finished) {
+            double fullValueLimit = job.commodity.jobClass.targetTime()
+                    + job.commodity.jobClass.runTimeFactor() * job.commodity.runMicros * job.sizeFactor;
+            finish(job, outcome == Outcome.SERVED && now - job.arrivedAt <= fullValueLimit);
+        } else if (job.openAttempts == 0) {
+            holdOrGiveUp(job, now);
         }
     }
 
-    /** What a finished job teaches of its worker's pace and its good's run time. */
-    private void learn(Attempt a, long now) {
-        Seller s = a.seller;
-        s.errors /= 2;
-        s.isWell(now);
-        double run = now - (a.startedAt > 0 ? a.startedAt : a.sentAt);
+    /** Updates the estimates and the worker's credit from a served job. */
+    private void learnFromServed(JobAttempt a, long now) {
+        WorkerMarket market = a.market;
+        market.recentErrors /= 2;
+        market.resetFailures(now);
+        double elapsed = now - (a.startedAt > 0 ? a.startedAt : a.sentAt);
         if (!settings.startNotices()) {
-            judge(a, now);
+            adjustShare(a, now);
         }
-        // A slot entered at once is known to be free after; one at a key's far worker had better stay idle.
-        boolean free = !a.queued && a.job.key == 0;
-        s.credit += (free ? a.expected : Math.max(0, a.expected - run)) * a.job.slots;
-        ledger.learn(a, run);
-        s.credit = free && s.share < 1 ? Math.max(s.credit, s.cost(a.job.good)) : s.credit;
+        // A slot that was entered at once is known to be free afterwards. Jobs with a key are excluded, because
+        // a worker that doesn't have the key cached is better left idle.
+        boolean slotWasFree = !a.queued && a.job.key == 0;
+        market.credit += (slotWasFree ? a.expectedMicros : Math.max(0, a.expectedMicros - elapsed)) * a.job.slots;
+        state.learnFromRun(a, elapsed);
+        market.credit = slotWasFree && market.slotShare < 1
+                ? Math.max(market.credit, market.cost(a.job.commodity))
+                : market.credit;
     }
 
-    /** Danger: a worker that fails fast would draw jobs; each failure in a row doubles its bar. */
-    private void bar(Seller s, long now, long first) {
-        s.closeQuotas();
-        long step = Math.max(1, first) << Math.min(MAX_DOUBLINGS, s.errors + s.failures++);
-        s.barredUntil = now + step + random.nextLong(step);
+    /**
+     * Sends the worker nothing for a while, doubling with each failure in a row; a worker that fails fast
+     * would otherwise attract jobs.
+     */
+    private void backOff(WorkerMarket market, long now, long baseDelay) {
+        market.clearQuotas();
+        long step =
+                Math.max(1, baseDelay) << Math.min(MAX_BACKOFF_DOUBLINGS, market.recentErrors + market.failuresInRow++);
+        market.backoffUntil = now + step + random.nextLong(step);
     }
 
     @Override
     public void withdrawn(long now, long request) {
-        ledger.clock(now);
-        Job job = ledger.jobs.get(request);
-        if (job != null && !job.over) {
-            close(job, false);
+        state.advanceClock(now);
+        PendingJob job = state.jobs.get(request);
+        if (job != null && !job.finished) {
+            finish(job, false);
         }
     }
 
     @Override
     public void workers(long now, ListKind kind, List<Worker> entries) {
-        ledger.clock(now);
+        state.advanceClock(now);
         if (kind == ListKind.FAILED) {
-            long step = LIST_BACKOFF << Math.min(LIST_DOUBLINGS, listFailures++);
-            askListAt = now + step + random.nextLong(step);
+            long step = LIST_BACKOFF_MICROS << Math.min(MAX_LIST_BACKOFF_DOUBLINGS, listFailures++);
+            retryListAt = now + step + random.nextLong(step);
             return;
         }
         listFailures = 0;
-        ledger.list(kind != ListKind.CHANGES, entries, w -> {
-            Seller s = new Seller(w, goods, random.nextDouble(), LONGEST_REACH * period);
-            s.share = even(s);
-            return s;
+        state.applyWorkerList(kind != ListKind.CHANGES, entries, worker -> {
+            WorkerMarket market =
+                    new WorkerMarket(worker, commodities, random.nextDouble(), MAX_START_DELAY_PERIODS * periodMicros);
+            market.slotShare = evenShare(market);
+            return market;
         });
     }
 }
--- a/src/main/java/gorserill/cluster/member/LeaderService.java
+++ b/src/main/java/gorserill/cluster/member/LeaderService.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gorserill.cluster.Ground;
+import gorserill.cluster.ClusterEnvironment;
 import gorserill.cluster.consensus.Voter;
 import gorserill.cluster.ownership.Entry;
 import gorserill.cluster.ownership.Register;
@@ -17,152 +17,165 @@
 import java.util.function.Consumer;
 
 /**
- * Serves the members while this voter leads: puts entries into the log for them, renews leases, ends the
- * lives of those not heard. Danger: a leader that was cut off does not know it; a lease is renewed only after
- * a quorum said that it still leads.
+ * Serves the members while this voter leads: proposes log entries for them, renews leases and closes the
+ * lives of nodes that were not heard. A leader that was partitioned off does not notice it at once, so a
+ * lease is renewed only after a quorum has confirmed the leadership.
  */
 final class LeaderService {
-    /** Renewals are confirmed together, and requests for budgets put into the log, so many beats apart. */
-    private static final double GATHER = 0.25;
-    /** Renewals that wait; beyond that they are dropped, and asked for again. */
-    private static final int WAITING = 1_024;
+    /** Batching interval of renewals and budget requests, in heartbeat periods. */
+    private static final double BATCH_INTERVAL = 0.25;
+    /** Maximum number of waiting renewals; further ones are dropped and repeated by their senders. */
+    private static final int MAX_WAITING_RENEWALS = 1_024;
 
-    private final Terms terms;
-    private final Ground ground;
+    private final MemberConfig config;
+    private final ClusterEnvironment environment;
     private final Voter voter;
     private final Register register;
     private final BiConsumer<String, ObjectNode> send;
-    private final Map<String, Heard> heardAt = new HashMap<>();
-    /** Lives whose end is proposed, by node: whether the log has it yet or not, they are renewed no more. */
-    private final Map<String, Long> closing = new HashMap<>();
+    private final Map<String, LastHeard> heardAt = new HashMap<>();
+    /**
+     * Lives proposed for closing, by node. They are not renewed any more, whether or not the entry is
+     * committed.
+     */
+    private final Map<String, Long> closingLives = new HashMap<>();
 
-    private final List<Renewal> waiting = new ArrayList<>();
-    private final OpenQuestions questions = new OpenQuestions();
+    private final List<Renewal> waitingRenewals = new ArrayList<>();
+    private final PendingRequests pendingRequests = new PendingRequests();
     private final BudgetRequests requests = new BudgetRequests();
-    private boolean grouping;
-    private boolean confirming;
-    private long leadsSince = -1;
-    private long lookedAt;
-    private final Map<String, Long> ghostsSeen = new HashMap<>();
+    private boolean groupPending;
+    private boolean confirmationPending;
+    private long leaderSinceMs = -1;
+    private long lastCheckMs;
+    private final Map<String, Long> ghostsSeenAt = new HashMap<>();
 
-    /** When the life of that number was heard last. */
-    private record Heard(long life, long at) {}
+    /** The time at which a life was last heard. */
+    private record LastHeard(long life, long at) {}
 
-    private record Renewal(BiConsumer<String, ObjectNode> back, String node, long life, long at, long came) {}
+    private record Renewal(BiConsumer<String, ObjectNode> back, String node, long life, long at, long receivedAt) {}
 
-    LeaderService(Terms terms, Ground ground, Voter voter, Register register, BiConsumer<String, ObjectNode> send) {
-        this.terms = terms;
-        this.ground = ground;
+    LeaderService(
+            MemberConfig config,
+            ClusterEnvironment environment,
+            Voter voter,
+            Register register,
+            BiConsumer<String, ObjectNode> send) {
+        this.config = config;
+        this.environment = environment;
         this.voter = voter;
         this.register = register;
         this.send = send;
     }
 
-    /** Danger: a new leader has heard nobody yet; all get a whole patience from here on. */
-    void leads(boolean now) {
-        leadsSince = now ? ground.millis() : -1;
+    /**
+     * A new leader has not heard any node yet, so each one gets a full failure timeout from the election on.
+     */
+    void onLeadershipChange(boolean leading) {
+        leaderSinceMs = leading ? environment.millis() : -1;
         heardAt.clear();
-        closing.clear();
-        waiting.clear();
-        confirming = false;
-        questions.clear();
+        closingLives.clear();
+        waitingRenewals.clear();
+        confirmationPending = false;
+        pendingRequests.clear();
         requests.clear();
-        grouping = false;
-        lookedAt = leadsSince;
-        ghostsSeen.clear();
-        if (now) {
-            watch(leadsSince);
+        groupPending = false;
+        lastCheckMs = leaderSinceMs;
+        ghostsSeenAt.clear();
+        if (leading) {
+            checkNodes(leaderSinceMs);
         }
     }
 
-    private void watch(long since) {
-        if (leadsSince != since) {
+    private void checkNodes(long since) {
+        if (leaderSinceMs != since) {
             return;
         }
-        // Danger: one that was stalled, or is starved, has not listened, and would take all others for dead.
-        long late = Math.max(0, ground.millis() - lookedAt - 2 * terms.beat());
-        lookedAt = ground.millis();
-        if (late > 0) {
-            heardAt.replaceAll((node, heard) -> new Heard(heard.life, heard.at + late));
+        // If this process was suspended or starved, it did not receive renewals either: the delay is added to
+        // the last-heard times so that live nodes are not closed.
+        long delayMs = Math.max(0, environment.millis() - lastCheckMs - 2 * config.heartbeatMs());
+        lastCheckMs = environment.millis();
+        if (delayMs > 0) {
+            heardAt.replaceAll((node, heard) -> new LastHeard(heard.life, heard.at + delayMs));
         }
         for (Map.Entry<String, Register.Node> each :
                 List.copyOf(register.nodes().entrySet())) {
             long life = each.getValue().life;
-            Heard heard = heardAt.get(each.getKey());
+            LastHeard heard = heardAt.get(each.getKey());
             if (heard == null || heard.life != life) {
-                // Danger: measured by when the life before was heard, a new one would be over at once.
-                heardAt.put(each.getKey(), new Heard(life, ground.millis()));
-            } else if (ground.millis() - heard.at > terms.patience()) {
-                heardAt.put(each.getKey(), new Heard(life, ground.millis()));
-                closing.put(each.getKey(), life);
-                put(new Entry.Close(each.getKey(), life, Register.UNHEARD), answer -> {});
+                // A new life starts its own timeout; with the last-heard time of the previous life it would
+                // be closed at once.
+                heardAt.put(each.getKey(), new LastHeard(life, environment.millis()));
+            } else if (environment.millis() - heard.at > config.failureTimeoutMs()) {
+                heardAt.put(each.getKey(), new LastHeard(life, environment.millis()));
+                closingLives.put(each.getKey(), life);
+                put(new Entry.Close(each.getKey(), life, Register.NOT_HEARD), answer -> {});
             }
         }
-        // Danger: a process that was replaced spends until its lease is over, and may not know yet.
-        Set<String> ghosts = register.parts().ghosts.keySet();
-        ghostsSeen.keySet().retainAll(ghosts);
-        ghosts.forEach(ghost -> ghostsSeen.putIfAbsent(ghost, ground.millis()));
-        ghostsSeen.forEach((ghost, at) -> {
-            if (ground.millis() - at > terms.patience()) {
-                put(new Entry.Bury(ghost), answer -> {});
+        // A replaced process may spend its share until its lease expires, without knowing that it was
+        // replaced.
+        Set<String> ghosts = register.budgetShares().ghosts.keySet();
+        ghostsSeenAt.keySet().retainAll(ghosts);
+        ghosts.forEach(ghost -> ghostsSeenAt.putIfAbsent(ghost, environment.millis()));
+        ghostsSeenAt.forEach((ghost, at) -> {
+            if (environment.millis() - at > config.failureTimeoutMs()) {
+                put(new Entry.ReclaimShare(ghost), answer -> {});
             }
         });
-        Register.Replacing its = register.replacing();
-        if (its != null
+        Register.VoterReplacement replacement = register.replacing();
+        if (replacement != null
                 && voter.replace(
-                        its.leaving,
-                        its.coming,
-                        its.entry,
-                        seat -> send.accept(its.coming, message("seat").set("seat", seat)))) {
-            put(new Entry.Replaced(its.entry), answer -> {});
+                        replacement.leaving,
+                        replacement.coming,
+                        replacement.entry,
+                        seat -> send.accept(replacement.coming, message("seat").set("seat", seat)))) {
+            put(new Entry.Replaced(replacement.entry), answer -> {});
         }
-        ground.after(terms.beat(), () -> watch(since));
+        environment.after(config.heartbeatMs(), () -> checkNodes(since));
     }
 
-    private void put(Entry entry, Consumer<Register.Answer> then) {
-        put(entry, Register.Answer.class, then);
+    private void put(Entry entry, Consumer<Register.CommandResult> then) {
+        put(entry, Register.CommandResult.class, then);
     }
 
     /**
-     * Puts an entry into the log, and tells those whose pieces that changed.
+     * Proposes an entry and sends the new view to each node that becomes an owner by it.
      *
-     * @param then what the register made of it; null where that is not known
+     * @param then receives the result of the register, or null if the outcome is not known
      */
-    private <T> void put(Entry entry, Class<T> what, Consumer<T> then) {
+    private <T> void put(Entry entry, Class<T> resultType, Consumer<T> then) {
         Map<String, Long> before = new HashMap<>();
         register.pieces().forEach((name, piece) -> before.put(name, piece.epoch));
         voter.propose(Register.text(entry), result -> {
-            then.accept(what.isInstance(result) ? what.cast(result) : null);
+            then.accept(resultType.isInstance(result) ? resultType.cast(result) : null);
             register.pieces().forEach((name, piece) -> {
                 if (piece.epoch != before.getOrDefault(name, 0L) && !piece.owner.isEmpty()) {
-                    // Danger: told now, a new owner need not wait for its next renewal.
+                    // Sent at once, so that a new owner need not wait for its next renewal.
                     send.accept(piece.owner, view(piece.owner, -1));
                 }
             });
         });
     }
 
-    void asked(BiConsumer<String, ObjectNode> back, String from, String process, long id, Entry entry) {
-        Consumer<Register.Answer> way = answer -> back.accept(
+    void handleRequest(BiConsumer<String, ObjectNode> back, String from, String process, long id, Entry entry) {
+        Consumer<Register.CommandResult> route = answer -> back.accept(
                 from,
                 message("told")
                         .put("process", process)
                         .put("id", id)
-                        .put("done", answer.done())
-                        .put("why", answer.why())
-                        .put("number", answer.number()));
-        String whyNot = entry.format() > register.format()
+                        .put("done", answer.accepted())
+                        .put("why", answer.reason())
+                        .put("number", answer.value()));
+        String refusalReason = entry.format() > register.format()
                 ? "not all nodes are of a build that knows this yet"
-                : entry instanceof Entry.Replace replace ? whyNot(replace) : null;
-        Consumer<Register.Answer> all = answer -> questions.answered(process, id, answer);
-        if (whyNot != null) {
-            way.accept(new Register.Answer(false, whyNot, 0));
-        } else if (!questions.came(process, id, way)) {
-            // Its entry is on its way already.
+                : entry instanceof Entry.Replace replace ? refusalReason(replace) : null;
+        Consumer<Register.CommandResult> all = answer -> pendingRequests.complete(process, id, answer);
+        if (refusalReason != null) {
+            route.accept(new Register.CommandResult(false, refusalReason, 0));
+        } else if (!pendingRequests.add(process, id, route)) {
+            // The entry of this request has already been proposed.
             return;
         } else if (entry instanceof Entry.RequestBudget request) {
             requests.add(request, all);
-            gather();
+            scheduleGroup();
         } else {
             put(entry, all);
         }
@@ -170,70 +183,76 @@
 
     // ---- requests for budgets ----
 
-    private void gather() {
-        if (!grouping && requests.size() > 0) {
-            grouping = true;
-            long since = leadsSince;
-            ground.after((long) (terms.beat() * GATHER), () -> {
-                if (since == leadsSince) {
-                    nextGroup();
+    private void scheduleGroup() {
+        if (!groupPending && requests.size() > 0) {
+            groupPending = true;
+            long since = leaderSinceMs;
+            environment.after((long) (config.heartbeatMs() * BATCH_INTERVAL), () -> {
+                if (since == leaderSinceMs) {
+                    proposeGroup();
                 }
             });
         }
     }
 
     /**
-     * One group is on its way through the log at a time. Danger: every node tells what it wants of each
-     * budget, and a claim that waits behind all of that in the log, or finds no room there, comes too late.
+     * Proposes the next group; at most one group is in flight. Every node requests its share of each budget,
+     * and claims queued behind all these requests, or refused for lack of room in the log, would come too
+     * late.
      */
-    private void nextGroup() {
+    private void proposeGroup() {
         List<BudgetRequests.Waiting> group = requests.next();
         boolean more = requests.size() > 0;
         Entry.RequestBudgets all = new Entry.RequestBudgets(
                 group.stream().map(BudgetRequests.Waiting::request).toList());
-        long since = leadsSince;
+        long since = leaderSinceMs;
         if (all.format() <= register.format()) {
-            put(all, Register.Answers.class, answers -> {
+            put(all, Register.CommandResults.class, answers -> {
                 for (int i = 0; i < group.size(); i++) {
                     group.get(i)
                             .then()
-                            .accept(answers == null ? null : answers.each().get(i));
+                            .accept(answers == null ? null : answers.results().get(i));
                 }
-                grouped(since, more);
+                onGroupDone(since, more);
             });
         } else {
-            // Some node is of a build that does not know groups: one entry each, as it did.
+            // Some node runs a build without group entries: propose one entry per request.
             int[] left = {group.size()};
             group.forEach(one -> put(one.request(), answer -> {
                 one.then().accept(answer);
                 if (--left[0] == 0) {
-                    grouped(since, more);
+                    onGroupDone(since, more);
                 }
             }));
         }
     }
 
-    /** @param more whether a group was full: the next one then need not wait for company */
-    private void grouped(long since, boolean more) {
-        if (since != leadsSince) {
+    /**
+     * @param more whether requests were left over; then the next group is proposed without waiting for the
+     *     interval
+     */
+    private void onGroupDone(long since, boolean more) {
+        if (since != leaderSinceMs) {
             return;
         } else if (more) {
-            nextGroup();
+            proposeGroup();
         } else {
-            grouping = false;
-            gather();
+            groupPending = false;
+            scheduleGroup();
         }
     }
 
     // ---- voters ----
 
-    /** Why a voter can't be replaced so; null where it can. */
-    private String whyNot(Entry.Replace replace) {
-        Set<String> seats = voter.seats();
-        Register.Replacing its = register.replacing();
-        // Danger: let go of when the new one votes already, the old one would vote on for good.
-        return its != null && voter.votes(its.coming, its.entry)
-                ? its.coming + " is just taking the place of " + its.leaving + "; ask again when that is done"
+    /** The reason why a voter replacement is refused; null if it is allowed. */
+    private String refusalReason(Entry.Replace replace) {
+        Set<String> seats = voter.voterNodes();
+        Register.VoterReplacement replacement = register.replacing();
+        // If the replacement in progress were superseded when its new voter already votes, the old voter
+        // would never be removed.
+        return replacement != null && voter.votes(replacement.coming, replacement.entry)
+                ? replacement.coming + " is just taking the place of " + replacement.leaving
+                        + "; ask again when that is done"
                 : !seats.contains(replace.leaving())
                         ? "no voter " + replace.leaving() + " among " + seats
                         : seats.contains(replace.coming()) && !replace.coming().equals(replace.leaving())
@@ -243,69 +262,77 @@
 
     // ---- leases ----
 
-    /** @param back the way that the answer goes */
+    /**
+     * Queues a renewal until the leadership is confirmed.
+     *
+     * @param back sends the answer to the node
+     */
     void renew(BiConsumer<String, ObjectNode> back, String from, long life, long at) {
-        if (waiting.size() < WAITING) {
-            waiting.add(new Renewal(back, from, life, at, ground.millis()));
+        if (waitingRenewals.size() < MAX_WAITING_RENEWALS) {
+            waitingRenewals.add(new Renewal(back, from, life, at, environment.millis()));
         }
-        if (!confirming) {
-            confirming = true;
-            ground.after((long) (terms.beat() * GATHER), this::confirm);
+        if (!confirmationPending) {
+            confirmationPending = true;
+            environment.after((long) (config.heartbeatMs() * BATCH_INTERVAL), this::confirm);
         }
     }
 
     private void confirm() {
-        List<Renewal> batch = new ArrayList<>(waiting);
-        waiting.clear();
-        long since = leadsSince;
-        voter.confirm(leads -> {
-            if (since != leadsSince) {
+        List<Renewal> batch = new ArrayList<>(waitingRenewals);
+        waitingRenewals.clear();
+        long since = leaderSinceMs;
+        voter.confirmLeadership(confirmed -> {
+            if (since != leaderSinceMs) {
                 return;
             }
-            confirming = false;
-            if (leads) {
-                batch.forEach(this::renewed);
+            confirmationPending = false;
+            if (confirmed) {
+                batch.forEach(this::completeRenewal);
             }
-            if (!waiting.isEmpty()) {
-                confirming = true;
-                ground.after((long) (terms.beat() * GATHER), this::confirm);
+            if (!waitingRenewals.isEmpty()) {
+                confirmationPending = true;
+                environment.after((long) (config.heartbeatMs() * BATCH_INTERVAL), this::confirm);
             }
         });
     }
 
-    private void renewed(Renewal renewal) {
+    private void completeRenewal(Renewal renewal) {
         Register.Node node = register.nodes().get(renewal.node);
-        if (node != null && closing.getOrDefault(renewal.node, 0L) == node.life) {
-            // Danger: a lease renewed now would outlast the entry that ends this life.
+        if (node != null && closingLives.getOrDefault(renewal.node, 0L) == node.life) {
+            // A lease renewed now would outlast the entry that closes this life.
             return;
         } else if (node != null && node.life == renewal.life) {
-            Heard heard = heardAt.get(renewal.node);
+            LastHeard heard = heardAt.get(renewal.node);
             heardAt.put(
                     renewal.node,
-                    new Heard(
+                    new LastHeard(
                             renewal.life,
                             heard != null && heard.life == renewal.life
-                                    ? Math.max(heard.at, renewal.came)
-                                    : renewal.came));
+                                    ? Math.max(heard.at, renewal.receivedAt)
+                                    : renewal.receivedAt));
         }
         renewal.back.accept(renewal.node, view(renewal.node, renewal.at));
     }
 
-    /** What a node owns, as of the log's last entry. */
+    /**
+     * The view sent to a node: its life, pieces, budget shares and the voters as of the last applied entry.
+     */
     private ObjectNode view(String to, long at) {
         Register.Node node = register.nodes().get(to);
-        ObjectNode view =
-                message("view").put("at", at).put("as_of", voter.applied()).put("life", node == null ? 0 : node.life);
+        ObjectNode view = message("view")
+                .put("at", at)
+                .put("as_of", voter.appliedIndex())
+                .put("life", node == null ? 0 : node.life);
         view.put("members_since", voter.membersSince());
         voter.members().keySet().forEach(view.putArray("members")::add);
         ArrayNode budgets = view.putArray("budgets");
-        register.parts().parts.forEach((name, its) -> {
-            BudgetShares.Share part = its.get(to);
+        register.budgetShares().parts.forEach((name, shares) -> {
+            BudgetShares.Share part = shares.get(to);
             if (part != null) {
                 budgets.addObject()
                         .put("budget", name)
                         .put("has", part.has)
-                        .put("due", register.parts().due(name).get(to))
+                        .put("due", register.budgetShares().fairShares(name).get(to))
                         .put("turn", part.turn);
             }
         });
@@ -316,7 +343,7 @@
                         .put("piece", name)
                         .put("epoch", piece.epoch)
                         .put("last", piece.last)
-                        .put("stays", to.equals(register.heir(name)));
+                        .put("stays", to.equals(register.preferredOwner(name)));
                 ArrayNode unknown = one.putArray("unknown");
                 piece.unknown.forEach(unknown::add);
             }
--- a/src/main/java/gorserill/program/Handover.java
+++ b/src/main/java/gorserill/program/Handover.java
@@ -1,6 +1,6 @@
 package gorserill.program;
 
-import barrowflow.Dispatcher.Learned;
+import barrowflow.Dispatcher.LearnedState;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -22,57 +22,57 @@
 import java.util.logging.Logger;
 
 /**
- * What a process has learned of the workers, written down once a second for the process that takes its place.
- * On the loop's thread, except for the constructor.
+ * Passes learned worker figures to the successor process through a file that is written once a second. Used on the
+ * loop's thread, except for the constructor.
  */
 final class Handover {
     private static final Logger LOG = Logger.getLogger(Handover.class.getName());
     private static final JsonFactory JSON = new JsonFactory();
-    private static final long EVERY = 1_000_000;
-    /** Older figures tell of another time. */
-    private static final long FRESH_MS = 5_000;
+    private static final long WRITE_PERIOD_MICROS = 1_000_000;
+    /** Older files are ignored, since the figures may no longer hold. */
+    private static final long MAX_AGE_MS = 5_000;
 
-    /** What was learned of a worker that started at that time. */
-    record Figures(long since, List<Double> learned) {}
+    /** Learned figures of a worker, valid only for the given start time. */
+    record WorkerFigures(long since, List<Double> learned) {}
 
     private final Loop loop;
     private final Core core;
-    private final Fleet fleet;
+    private final WorkerDirectory workers;
     private final Path file;
     private final String node;
 
-    Handover(Loop loop, Core core, Fleet fleet, Path folder, String node) {
+    Handover(Loop loop, Core core, WorkerDirectory workers, Path folder, String node) {
         this.loop = loop;
         this.core = core;
-        this.fleet = fleet;
+        this.workers = workers;
         this.node = node;
         file = folder.resolve(NodeConfig.fileKey(node) + ".learned");
     }
 
-    /** Takes over what was written last, if that was a moment ago. */
-    void recall() {
+    /** Restores the figures from the file, if it is recent and written by this node. */
+    void restore() {
         try {
-            if (System.currentTimeMillis() - Files.getLastModifiedTime(file).toMillis() > FRESH_MS) {
+            if (System.currentTimeMillis() - Files.getLastModifiedTime(file).toMillis() > MAX_AGE_MS) {
                 return;
             }
-            Map<String, Figures> workers = new HashMap<>();
-            List<Double> all = read(workers);
-            if (all != null) {
-                core.recall(new Learned(all, Map.of()));
-                fleet.recall(workers);
+            Map<String, WorkerFigures> figures = new HashMap<>();
+            List<Double> shared = read(figures);
+            if (shared != null) {
+                core.restoreLearned(new LearnedState(shared, Map.of()));
+                workers.restoreLearned(figures);
                 LOG.log(Level.INFO, "{0} begins with what was learned of {1} workers", new Object[] {
-                    node, workers.size()
+                    node, figures.size()
                 });
             }
         } catch (NoSuchFileException e) {
-            // There is nobody whose place it takes.
+            // There was no predecessor.
         } catch (IOException e) {
             LOG.log(Level.WARNING, "{0} can''t be read; nothing is taken over: {1}", new Object[] {file, e});
         }
     }
 
-    /** Writes down what is known, now and every second, for as long as {@code serving} says so. */
-    void keep(BooleanSupplier serving) {
+    /** Writes the learned figures now and every second; skips a write while {@code serving} is false. */
+    void writePeriodically(BooleanSupplier serving) {
         if (serving.getAsBoolean()) {
             try {
                 write();
@@ -80,35 +80,35 @@
                 LOG.log(Level.FINE, "{0} can''t be written: {1}", new Object[] {file, e});
             }
         }
-        loop.at(loop.now() + EVERY, () -> keep(serving));
+        loop.at(loop.now() + WRITE_PERIOD_MICROS, () -> writePeriodically(serving));
     }
 
     private void write() throws IOException {
-        Learned learned = core.learned();
+        LearnedState learned = core.learned();
         Path fresh = Files.createTempFile(file.getParent(), file.getFileName().toString(), ".new");
         try {
             write(fresh, learned);
             Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
         } finally {
-            // Danger: a disk that is full fails every write; what each left would keep it full for good.
+            // On a full disk every write fails; leftover temporary files would keep the disk full.
             Files.deleteIfExists(fresh);
         }
     }
 
-    private void write(Path fresh, Learned learned) throws IOException {
+    private void write(Path fresh, LearnedState learned) throws IOException {
         try (JsonGenerator json = JSON.createGenerator(Files.newOutputStream(fresh))) {
             json.writeStartObject();
             json.writeStringField("node", node);
             json.writeFieldName("all");
-            numbers(json, learned.all());
+            writeNumbers(json, learned.shared());
             json.writeObjectFieldStart("workers");
-            fleet.forEachListed((id, entry) -> {
-                List<Double> its = learned.workers().get(id);
-                if (its != null) {
+            workers.forEachListed((id, entry) -> {
+                List<Double> values = learned.byWorker().get(id);
+                if (values != null) {
                     try {
                         json.writeArrayFieldStart(entry.name());
                         json.writeNumber(entry.since());
-                        numbers(json, its);
+                        writeNumbers(json, values);
                         json.writeEndArray();
                     } catch (IOException e) {
                         throw new UncheckedIOException(e);
@@ -122,7 +122,7 @@
         }
     }
 
-    private static void numbers(JsonGenerator json, List<Double> numbers) throws IOException {
+    private static void writeNumbers(JsonGenerator json, List<Double> numbers) throws IOException {
         json.writeStartArray();
         for (double number : numbers) {
             json.writeNumber(number);
@@ -130,7 +130,7 @@
         json.writeEndArray();
     }
 
-    private static List<Double> numbers(JsonParser json) throws IOException {
+    private static List<Double> readNumbers(JsonParser json) throws IOException {
         expect(json.currentToken() == JsonToken.START_ARRAY);
         List<Double> numbers = new ArrayList<>();
         while (json.nextToken() != JsonToken.END_ARRAY) {
@@ -139,19 +139,19 @@
         return numbers;
     }
 
-    /** Gives the figures of no worker in particular; null where the file is another node's. */
-    private List<Double> read(Map<String, Figures> workers) throws IOException {
-        List<Double> all = null;
-        boolean mine = false;
+    /** Reads the file into {@code figures} and returns the shared ones; null if it belongs to another node. */
+    private List<Double> read(Map<String, WorkerFigures> figures) throws IOException {
+        List<Double> shared = null;
+        boolean sameNode = false;
         try (JsonParser json = JSON.createParser(Files.readAllBytes(file))) {
             expect(json.nextToken() == JsonToken.START_OBJECT);
             while (json.nextToken() == JsonToken.FIELD_NAME) {
                 String field = json.currentName();
                 json.nextToken();
                 if (field.equals("node")) {
-                    mine = node.equals(json.getText());
+                    sameNode = node.equals(json.getText());
                 } else if (field.equals("all")) {
-                    all = numbers(json);
+                    shared = readNumbers(json);
                 } else {
                     while (json.nextToken() == JsonToken.FIELD_NAME) {
                         String name = json.currentName();
@@ -159,18 +159,18 @@
                         json.nextToken();
                         long since = json.getLongValue();
                         json.nextToken();
-                        workers.put(name, new Figures(since, numbers(json)));
+                        figures.put(name, new WorkerFigures(since, readNumbers(json)));
                         json.nextToken();
                     }
                 }
             }
         }
-        return mine ? all : null;
+        return sameNode ? shared : null;
     }
 
-    private static void expect(boolean so) throws IOException {
-        if (!so) {
-            throw new IOException("not what a process writes");
+    private static void expect(boolean condition) throws IOException {
+        if (!condition) {
+            throw new IOException("malformed handover file");
         }
     }
 }
--- a/src/main/java/gorserill/program/Maintenance.java
+++ b/src/main/java/gorserill/program/Maintenance.java
@@ -1,48 +1,49 @@
 package gorserill.program;
 
 import gorserill.common.Loop;
-import gorserill.protocol.faktory.FaktoryFront;
+import gorserill.protocol.faktory.FaktoryFrontend;
 import java.io.IOException;
 import java.util.Set;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Takes workers out by hand and puts them back, whichever way they are known to the node. */
+/** Excludes workers on an operator's call and puts them back, both listed HTTP workers and Faktory workers. */
 final class Maintenance {
     private static final Logger LOG = Logger.getLogger(Maintenance.class.getName());
-    /** What another process of the node was told holds here so much later at most. */
-    private static final long LOOK_AGAIN = 100_000;
+    /** Longest delay until a ban set through another process of the node takes effect here. */
+    private static final long POLL_PERIOD_MICROS = 100_000;
 
     private final Loop loop;
     private final Bans bans;
-    private final Fleet fleet;
-    private final FaktoryFront faktory;
+    private final WorkerDirectory workers;
+    private final FaktoryFrontend faktory;
 
-    /** @param faktory null where that front is off */
-    Maintenance(Loop loop, Bans bans, Fleet fleet, FaktoryFront faktory) {
+    /** @param faktory null where the Faktory front end is disabled */
+    Maintenance(Loop loop, Bans bans, WorkerDirectory workers, FaktoryFrontend faktory) {
         this.loop = loop;
         this.bans = bans;
-        this.fleet = fleet;
+        this.workers = workers;
         this.faktory = faktory;
     }
 
-    /** Sees to it that other processes' calls hold here, too. */
-    void watch() {
+    /** Applies bans set through other processes of the node, now and periodically. */
+    void pollBans() {
         apply(bans.refresh());
-        loop.at(loop.now() + LOOK_AGAIN, this::watch);
+        loop.at(loop.now() + POLL_PERIOD_MICROS, this::pollBans);
     }
 
-    /** Gives why it can't be done; null where it is. */
-    String set(String worker, boolean out) {
-        // Danger: another process may just have changed it, and a call that seems needless would do nothing.
+    /** Sets or lifts a ban; returns the reason for a refusal, or null on success. */
+    String setBanned(String worker, boolean banned) {
+        // Another process may have changed the ban since the last poll; on stale bans this call could wrongly do
+        // nothing.
         apply(bans.refresh());
-        boolean known = fleet.knows(worker) || faktory != null && faktory.knows(worker);
-        if (!known && !(bans.has(worker) && !out)) {
+        boolean known = workers.isKnown(worker) || faktory != null && faktory.hasWorker(worker);
+        if (!known && !(bans.contains(worker) && !banned)) {
             return worker.isEmpty() ? "no worker is named" : "no such worker was ever listed";
         }
-        if (bans.has(worker) != out) {
+        if (bans.contains(worker) != banned) {
             try {
-                bans.set(worker, out);
+                bans.set(worker, banned);
             } catch (IOException e) {
                 LOG.log(Level.SEVERE, "the bans can''t be kept: {0}", e.toString());
                 return "the bans can't be kept";
@@ -54,9 +55,10 @@
 
     private void apply(Set<String> changed) {
         for (String worker : changed) {
-            LOG.log(Level.INFO, "worker {0} is {1}", new Object[] {worker, bans.has(worker) ? "taken out" : "put back"
+            LOG.log(Level.INFO, "worker {0} is {1}", new Object[] {
+                worker, bans.contains(worker) ? "taken out" : "put back"
             });
-            fleet.banChanged(worker);
+            workers.banChanged(worker);
             if (faktory != null) {
                 faktory.banChanged(worker);
             }
--- a/src/main/java/gorserill/program/WarmUp.java
+++ b/src/main/java/gorserill/program/WarmUp.java
@@ -6,13 +6,13 @@
 import barrowflow.Dispatcher.Worker;
 import barrowflow.Dispatcher.WorkerState;
 import gorserill.common.Loop;
-import gorserill.protocol.http.HttpExercise;
-import gorserill.routing.Ask;
+import gorserill.protocol.http.HttpCodecWarmUp;
 import gorserill.routing.Attempt;
 import gorserill.routing.Core;
-import gorserill.routing.Front;
+import gorserill.routing.JobSpec;
 import gorserill.routing.Load;
-import gorserill.routing.Work;
+import gorserill.routing.RequestOptions;
+import gorserill.routing.ResponseHandler;
 import gorserill.routing.WorkerPort;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -22,55 +22,55 @@
 import java.util.logging.Logger;
 
 /**
- * Sends make-believe requests through codecs, core and module before the node says that it is ready. Danger:
- * the first clients of a restarted node would pay for loading and interpreting every class on their way.
+ * Sends synthetic requests through codecs, core and dispatcher before the node reports ready. Otherwise the first
+ * requests after a restart would wait for class loading and run in the interpreter.
  */
 final class WarmUp {
-    private static final int ROUNDS = 300;
-    private static final int WORKERS = 12;
-    private static final long ROUND_NANOS = 20_000_000;
+    private static final int REQUESTS = 300;
+    private static final int WORKER_COUNT = 12;
+    private static final long REQUEST_INTERVAL_NANOS = 20_000_000;
     private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
 
     private WarmUp() {}
 
-    /** Gives how many of the make-believe requests were answered. */
+    /** Runs the warm-up and returns the number of synthetic requests that were answered. */
     static int run(Settings settings) {
-        HttpExercise.run(ROUNDS);
-        // A clock of its own, so that the module's periods pass without waiting for them.
+        HttpCodecWarmUp.run(REQUESTS);
+        // A simulated clock lets the dispatcher's periods pass without waiting.
         long[] nanos = new long[1];
         Loop loop = new Loop(e -> LOG.log(Level.WARNING, "the warm-up failed; the node goes on", e), () -> nanos[0]);
         Core core = new Core(loop, settings, 1, () -> {});
-        Deque<Attempt> sent = new ArrayDeque<>();
+        Deque<Attempt> startedAttempts = new ArrayDeque<>();
         WorkerPort port = new WorkerPort() {
             @Override
-            public void start(Attempt attempt, Work work, long expires) {
-                sent.add(attempt);
+            public void start(Attempt attempt, JobSpec work, long expires) {
+                startedAttempts.add(attempt);
             }
 
             @Override
-            public boolean callOff(Attempt attempt) {
+            public boolean abort(Attempt attempt) {
                 return true;
             }
         };
         Map<Long, WorkerPort> ports = new HashMap<>();
-        for (long id = 1; id <= WORKERS; id++) {
+        for (long id = 1; id <= WORKER_COUNT; id++) {
             ports.put(id, port);
         }
-        core.listed(
+        core.updateWorkers(
                 ListKind.WHOLE,
                 ports.keySet().stream()
                         .map(id -> new Worker(id, 0, settings.zone(), 0, WorkerState.READY, 0))
                         .toList(),
                 ports);
         Counter counter = new Counter();
-        for (int i = 0; i < ROUNDS; i++) {
-            core.take(
+        for (int i = 0; i < REQUESTS; i++) {
+            core.submit(
                     counter,
-                    new Work("w", i % settings.classes().size(), "/", "k", null, new byte[0]),
-                    new Ask(loop.now(), 1_000_000, false, 0, 0, 1, 0));
-            nanos[0] += ROUND_NANOS;
+                    new JobSpec("w", i % settings.classes().size(), "/", "k", null, new byte[0]),
+                    new RequestOptions(loop.now(), 1_000_000, false, 0, 0, 1, 0));
+            nanos[0] += REQUEST_INTERVAL_NANOS;
             loop.runDue();
-            for (Attempt attempt = sent.poll(); attempt != null; attempt = sent.poll()) {
+            for (Attempt attempt = startedAttempts.poll(); attempt != null; attempt = startedAttempts.poll()) {
                 attempt.started();
                 attempt.ended(Outcome.SERVED, new byte[0], Load.NONE);
             }
@@ -78,7 +78,7 @@
         return counter.answers;
     }
 
-    private static final class Counter implements Front {
+    private static final class Counter implements ResponseHandler {
         private int answers;
 
         @Override
--- a/src/main/java/gorserill/protocol/http/DiscoveryCall.java
+++ b/src/main/java/gorserill/protocol/http/DiscoveryCall.java
@@ -5,9 +5,9 @@
 import gorserill.common.Deadlines.Deadline;
 import gorserill.common.Loop;
 import gorserill.protocol.discovery.CallPace;
-import gorserill.protocol.discovery.Listing;
+import gorserill.protocol.discovery.WorkerListing;
 import gorserill.transport.Channel;
-import gorserill.transport.Peer;
+import gorserill.transport.ChannelListener;
 import gorserill.transport.Transport;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -17,116 +17,122 @@
 import java.util.logging.Logger;
 import org.glassfish.grizzly.filterchain.FilterChain;
 
-/** A connection to discovery with one call after another on it. It reads answers, and decides nothing. */
-final class DiscoveryCall implements Peer {
+/** A connection to discovery that carries one call after another and reports the results to a {@link Listener}. */
+final class DiscoveryCall implements ChannelListener {
     private static final Logger LOG = Logger.getLogger(DiscoveryCall.class.getName());
     private static final JsonFactory JSON = new JsonFactory();
     private static final int OK = 200;
-    /** The status of an answer to a call that discovery has no time for, or can't answer. */
-    private static final int TURNED_AWAY = 503;
-    /** What was on its way as the sending ended has come by then, microseconds. */
-    private static final long LAST_WORDS = 2_000_000;
+    /** Status by which discovery rejects a call because it is overloaded or cannot answer. */
+    private static final int SERVICE_UNAVAILABLE = 503;
+    /** Time after the end of sending in which a response that was already under way arrives, in microseconds. */
+    private static final long CLOSE_TIMEOUT_MICROS = 2_000_000;
 
-    /** Is told, on the loop's thread, what becomes of a call; nothing once it was ended. */
-    interface Owner {
+    /** Receives the result of each call on the loop's thread; it is not called after {@link #close}. */
+    interface Listener {
         void opened(DiscoveryCall call);
 
-        /** @param closes whether no other call can be made on the connection */
-        void answered(DiscoveryCall call, Listing listing, boolean closes);
+        /** @param closes whether the connection cannot be used for another call */
+        void answered(DiscoveryCall call, WorkerListing listing, boolean closes);
 
-        void turnedAway(DiscoveryCall call);
+        void rejected(DiscoveryCall call);
 
-        /** There was no answer in the time that was given for it. */
-        void silent(DiscoveryCall call);
+        /** The call was not answered within its timeout. */
+        void timedOut(DiscoveryCall call);
 
         void failed(DiscoveryCall call, String why);
     }
 
     private final Loop loop;
-    private final Owner owner;
+    private final Listener listener;
     private final int number;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private final Transport.Connecting connecting;
-    /** When the present call was begun, its connection included. */
-    private long begun;
+    private final Transport.PendingConnection connecting;
+    /** Start of the current call, including the connect for the first one, on the loop's clock. */
+    private long startedAt;
 
     private Channel channel;
     private Deadline deadline;
     private HttpHead head;
-    private boolean asked;
-    private boolean finishing;
-    private boolean ended;
-    /** News up to this version came from elsewhere while the present call was out. */
+    private boolean sent;
+    private boolean closingGracefully;
+    private boolean closed;
+    /** Listings below this version are outdated: another call brought newer data while this one was pending. */
     private long outdatedBelow;
 
     /**
      * Opens the connection.
      *
-     * @param number in the order in which they are opened, for logs
+     * @param number consecutive number of the connection, for logs
      */
     DiscoveryCall(
-            Loop loop, Transport transport, FilterChain chain, InetSocketAddress address, int number, Owner owner) {
+            Loop loop,
+            Transport transport,
+            FilterChain chain,
+            InetSocketAddress address,
+            int number,
+            Listener listener) {
         this.loop = loop;
-        this.owner = owner;
+        this.listener = listener;
         this.number = number;
-        begun = loop.now();
+        startedAt = loop.now();
         connecting = transport.connect(address, chain, this);
-        deadline = loop.at(begun + CallPace.CONNECT_TIMEOUT * 1_000, () -> owner.failed(this, "no connection"));
+        deadline = loop.at(
+                startedAt + CallPace.CONNECT_TIMEOUT_MS * 1_000, () -> listener.failed(this, "connect timeout"));
     }
 
-    /** Makes the next call. */
-    void ask(String target, long patienceMillis) {
+    /** Sends the next call. */
+    void send(String target, long timeoutMillis) {
         LOG.log(Level.FINE, "discovery: asks {0}", target);
-        if (asked) {
-            begun = loop.now();
+        if (sent) {
+            startedAt = loop.now();
         }
-        asked = true;
+        sent = true;
         outdatedBelow = 0;
-        channel.write(HttpWriter.request("GET", target, "discovery").bytes());
+        channel.write(HttpMessageBuilder.request("GET", target, "discovery").bytes());
         loop.cancel(deadline);
-        deadline = loop.at(loop.now() + patienceMillis * 1_000, () -> owner.silent(this));
+        deadline = loop.at(loop.now() + timeoutMillis * 1_000, () -> listener.timedOut(this));
     }
 
-    /** Whether a call is out. */
-    boolean asked() {
-        return asked;
+    /** Whether a call has been sent on this connection. */
+    boolean isSent() {
+        return sent;
     }
 
-    long waitedMillis() {
-        return (loop.now() - begun) / 1_000;
+    long elapsedMillis() {
+        return (loop.now() - startedAt) / 1_000;
     }
 
-    /** What is answered to the call at hand may be older than this version. */
-    void outdatedBelow(long version) {
+    /** Marks listings below the given version as outdated for the current call. */
+    void markOutdatedBelow(long version) {
         outdatedBelow = Math.max(outdatedBelow, version);
     }
 
-    boolean isOutdated(Listing listing) {
+    boolean isOutdated(WorkerListing listing) {
         return listing.index() < outdatedBelow;
     }
 
-    /** It may take as long as it likes from now on. */
-    void waitOn() {
+    /** Removes the time limit of the current call. */
+    void cancelTimeout() {
         loop.cancel(deadline);
     }
 
     /**
-     * Ends the sending, and reads on for what is on its way. Danger: closed at once, an answer that discovery has just
-     * written, and that counts as told, would be lost.
+     * Shuts down the sending side and reads responses that are still under way. Closing at once would lose a response
+     * that discovery has just written, although discovery considers this node informed of its content.
      */
-    void finish() {
-        if (finishing) {
+    void closeGracefully() {
+        if (closingGracefully) {
             return;
         }
-        finishing = true;
-        channel.endSending();
+        closingGracefully = true;
+        channel.shutdownOutput();
         loop.cancel(deadline);
-        deadline = loop.at(loop.now() + LAST_WORDS, this::end);
+        deadline = loop.at(loop.now() + CLOSE_TIMEOUT_MICROS, this::close);
     }
 
-    /** Closes it; nothing more is told of it. */
-    void end() {
-        ended = true;
+    /** Closes the connection; the listener is not called any more. */
+    void close() {
+        closed = true;
         loop.cancel(deadline);
         if (channel != null) {
             channel.close();
@@ -135,38 +141,38 @@
         }
     }
 
-    boolean ended() {
-        return ended;
+    boolean isClosed() {
+        return closed;
     }
 
-    /** For logs: which it is, how long it has been out, and what had come of an answer. */
+    /** Describes the call for logs: its number, its duration and the received bytes of the response. */
     String describe() {
-        return "call " + number + ", out for " + waitedMillis() + " ms, " + body.size() + " bytes of an answer,";
+        return "call " + number + ", out for " + elapsedMillis() + " ms, " + body.size() + " bytes of an answer,";
     }
 
     @Override
     public void opened(Channel opened) {
         channel = opened;
-        if (ended) {
+        if (closed) {
             channel.close();
         } else {
-            owner.opened(this);
+            listener.opened(this);
         }
     }
 
     @Override
     public void connectFailed(String why) {
-        fail(why);
+        reportFailure(why);
     }
 
     @Override
     public void closed() {
-        fail("the connection ended");
+        reportFailure("connection closed by discovery");
     }
 
-    private void fail(String why) {
-        if (!ended) {
-            owner.failed(this, why);
+    private void reportFailure(String why) {
+        if (!closed) {
+            listener.failed(this, why);
         }
     }
 
@@ -174,42 +180,42 @@
     @SuppressWarnings("unchecked")
     public void received(Object messages) {
         for (Object message : (List<Object>) messages) {
-            if (ended) {
+            if (closed) {
                 return;
-            } else if (message instanceof HttpHead answer) {
-                head = answer;
+            } else if (message instanceof HttpHead response) {
+                head = response;
                 body.reset();
             } else if (message instanceof byte[] data) {
                 body.writeBytes(data);
-            } else if (message == HttpCodec.END) {
-                answered();
-            } else if (message != BEGUN) {
-                fail(((HttpException) message).getMessage());
+            } else if (message == HttpCodec.END_OF_RESPONSE) {
+                onResponseEnd();
+            } else if (message != PARTIAL_MESSAGE) {
+                reportFailure(((HttpException) message).getMessage());
             }
         }
     }
 
-    private void answered() {
+    private void onResponseEnd() {
         LOG.log(Level.FINE, "discovery: answers {0} with {1} bytes", new Object[] {head.status(), body.size()});
-        if (head.status() == TURNED_AWAY) {
-            owner.turnedAway(this);
+        if (head.status() == SERVICE_UNAVAILABLE) {
+            listener.rejected(this);
         } else if (head.status() != OK) {
-            fail("status " + head.status());
+            reportFailure("status " + head.status());
         } else {
-            listed();
+            parseListing();
         }
     }
 
-    private void listed() {
-        Listing listing;
+    private void parseListing() {
+        WorkerListing listing;
         try (JsonParser json = JSON.createParser(body.toByteArray())) {
             json.nextToken();
-            listing = Listing.read(json);
+            listing = WorkerListing.read(json);
         } catch (IOException e) {
-            fail("an unreadable listing: " + e.getMessage());
+            reportFailure("malformed listing: " + e.getMessage());
             return;
         }
         body.reset();
-        owner.answered(this, listing, head.closes());
+        listener.answered(this, listing, head.closes());
     }
 }
--- a/src/main/java/gorserill/protocol/http/HttpWriter.java
+++ b/src/main/java/gorserill/protocol/http/HttpMessageBuilder.java
@@ -2,53 +2,53 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Puts HTTP/1.1 messages together. */
-final class HttpWriter {
+/** Builds HTTP/1.1 requests and responses. */
+final class HttpMessageBuilder {
     private final StringBuilder head = new StringBuilder(256);
 
-    static HttpWriter answer(int status) {
-        HttpWriter writer = new HttpWriter();
-        writer.head
+    static HttpMessageBuilder response(int status) {
+        HttpMessageBuilder builder = new HttpMessageBuilder();
+        builder.head
                 .append("HTTP/1.1 ")
                 .append(status)
                 .append(' ')
-                .append(reason(status))
+                .append(reasonPhrase(status))
                 .append("\r\n");
-        return writer;
+        return builder;
     }
 
-    static HttpWriter request(String method, String target, String host) {
-        HttpWriter writer = new HttpWriter();
-        writer.head.append(method).append(' ').append(target).append(" HTTP/1.1\r\n");
-        return writer.header("Host", host);
+    static HttpMessageBuilder request(String method, String target, String host) {
+        HttpMessageBuilder builder = new HttpMessageBuilder();
+        builder.head.append(method).append(' ').append(target).append(" HTTP/1.1\r\n");
+        return builder.header("Host", host);
     }
 
-    /** A header; one whose value is null is left out. */
-    HttpWriter header(String name, Object value) {
+    /** Adds a header unless its value is null. */
+    HttpMessageBuilder header(String name, Object value) {
         if (value != null) {
             head.append(name).append(": ").append(value).append("\r\n");
         }
         return this;
     }
 
-    /** The message, without a body. */
+    /** Returns the message without a body. */
     byte[] bytes() {
         return ascii(head.append("\r\n").toString());
     }
 
     byte[] bytes(byte[] body) {
-        byte[] start = header("Content-Length", body.length).bytes();
-        byte[] all = new byte[start.length + body.length];
-        System.arraycopy(start, 0, all, 0, start.length);
-        System.arraycopy(body, 0, all, start.length, body.length);
-        return all;
+        byte[] encodedHead = header("Content-Length", body.length).bytes();
+        byte[] message = new byte[encodedHead.length + body.length];
+        System.arraycopy(encodedHead, 0, message, 0, encodedHead.length);
+        System.arraycopy(body, 0, message, encodedHead.length, body.length);
+        return message;
     }
 
     static byte[] ascii(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    static String reason(int status) {
+    static String reasonPhrase(int status) {
         return switch (status) {
             case 200 -> "OK";
             case 400 -> "Bad Request";
--- a/src/main/java/gorserill/protocol/peers/PeerPort.java
+++ b/src/main/java/gorserill/protocol/peers/PeerPort.java
@@ -2,7 +2,7 @@
 
 import gorserill.common.Loop;
 import gorserill.common.ThrottledWarnings;
-import gorserill.transport.Datagrams;
+import gorserill.transport.DatagramTransport;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -10,68 +10,69 @@
 import java.util.logging.Logger;
 
 /**
- * Where this node hears other nodes and speaks to them. A datagram counts as its sender's by the address that
- * it came from; from any other address, or longer than the platform allows, it is dropped and counted.
+ * Sends and receives messages between nodes as datagrams. The sender is identified by its source address; a datagram
+ * from an unknown address, or longer than the platform allows, is dropped and counted.
  */
 public final class PeerPort {
     private static final Logger LOG = Logger.getLogger(PeerPort.class.getName());
-    /** Bytes; a longer message breaks the platform's rules, so none is ever sent. */
-    public static final int MOST = 256;
+    /** Longest message that the platform allows; longer ones are never sent. */
+    public static final int MAX_MESSAGE_BYTES = 256;
 
     /**
-     * @param listen where this node's messages come in
-     * @param all where a message to every other node goes
-     * @param nodes the address that each node's messages come from, by the nodes' numbers
-     * @param me this node's number, whose own messages are not for it
+     * @param listen local address on which messages are received
+     * @param broadcast address to which messages to all other nodes are sent
+     * @param nodes source address of each node's messages, by node number
+     * @param self number of this node, whose own messages are ignored
      */
-    public record Addresses(InetSocketAddress listen, InetSocketAddress all, List<InetSocketAddress> nodes, int me) {}
+    public record Addresses(
+            InetSocketAddress listen, InetSocketAddress broadcast, List<InetSocketAddress> nodes, int self) {}
 
     private final Addresses addresses;
-    private final Datagrams datagrams;
-    private final ThrottledWarnings complaints;
-    private final BiConsumer<Integer, byte[]> heard;
+    private final DatagramTransport datagrams;
+    private final ThrottledWarnings warnings;
+    private final BiConsumer<Integer, byte[]> receiver;
     private long sent;
     private long received;
 
     /**
-     * @param heard the sender's number and its message, on the loop's thread
-     * @throws IOException where the address can't be had
+     * @param receiver gets the sender's number and the message, on the loop's thread
+     * @throws IOException if the address can't be bound
      */
-    public PeerPort(Loop loop, Addresses addresses, BiConsumer<Integer, byte[]> heard) throws IOException {
+    public PeerPort(Loop loop, Addresses addresses, BiConsumer<Integer, byte[]> receiver) throws IOException {
         this.addresses = addresses;
-        this.heard = heard;
-        complaints = new ThrottledWarnings(loop, LOG, "messages of other nodes dropped");
-        datagrams = new Datagrams(loop, addresses.listen(), MOST + 1, this::arrived);
+        this.receiver = receiver;
+        warnings = new ThrottledWarnings(loop, LOG, "messages of other nodes dropped");
+        datagrams = new DatagramTransport(loop, addresses.listen(), MAX_MESSAGE_BYTES + 1, this::receive);
     }
 
-    private void arrived(InetSocketAddress from, byte[] message) {
+    private void receive(InetSocketAddress from, byte[] message) {
         int node = addresses.nodes().indexOf(from);
-        if (node < 0 || node == addresses.me()) {
-            complaints.add("foreign", "from " + from);
-        } else if (message.length > MOST) {
-            complaints.add("too long", "from " + from);
+        if (node < 0 || node == addresses.self()) {
+            warnings.add("foreign", "from " + from);
+        } else if (message.length > MAX_MESSAGE_BYTES) {
+            warnings.add("too long", "from " + from);
         } else {
             received++;
-            heard.accept(node, message);
+            receiver.accept(node, message);
         }
     }
 
-    /** Sends every other node a message; one that is too long is not sent. */
-    public void tell(byte[] message) {
-        if (message.length > MOST) {
-            complaints.add("not sent", message.length + " bytes of our own");
+    /** Sends a message to all other nodes; a message that is too long is not sent. */
+    public void broadcast(byte[] message) {
+        if (message.length > MAX_MESSAGE_BYTES) {
+            warnings.add("not sent", message.length + " bytes exceed the limit of " + MAX_MESSAGE_BYTES);
             return;
         }
         sent++;
-        datagrams.send(addresses.all(), message);
+        datagrams.send(addresses.broadcast(), message);
     }
 
-    /** Messages sent, each to all others. */
+    /** Messages sent, each to all other nodes and counted once. */
     public long sent() {
         return sent;
     }
 
-    /** Messages of other nodes taken in. */
+    /** Messages of other nodes that were accepted. */
     public long received() {
         return received;
     }
--- a/src/test/java/gorserill/cluster/LabTest.java
+++ b/src/test/java/gorserill/cluster/LabTest.java
@@ -6,15 +6,15 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import gorserill.cluster.lab.Explorer;
-import gorserill.cluster.lab.Lab;
-import gorserill.cluster.lab.Lab.Fault;
-import gorserill.cluster.lab.Lab.Outcome;
-import gorserill.cluster.lab.Lab.Plan;
-import gorserill.cluster.lab.Lab.Scene;
+import gorserill.cluster.lab.ClusterSimulation;
+import gorserill.cluster.lab.ClusterSimulation.Fault;
+import gorserill.cluster.lab.ClusterSimulation.Outcome;
+import gorserill.cluster.lab.ClusterSimulation.Plan;
+import gorserill.cluster.lab.ClusterSimulation.Scenario;
+import gorserill.cluster.lab.FaultExplorer;
 import gorserill.cluster.lab.MessageKind;
 import gorserill.cluster.lab.Traffic;
-import gorserill.cluster.member.Member.Plant;
+import gorserill.cluster.member.Member.InjectedFault;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Map;
@@ -23,24 +23,28 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Members, log and owners in virtual time: the rules hold for every seed, and a planted fault is found. */
+/**
+ * Members, log and ownership simulated in virtual time: the rules hold for every seed, and each injected
+ * fault is detected.
+ */
 public class LabTest {
-    private static final Set<Fault> ALL = EnumSet.allOf(Fault.class);
-    private static final int PIECES_OF_THE_LAB = 4;
+    private static final Set<Fault> ALL_FAULTS = EnumSet.allOf(Fault.class);
+    private static final int LAB_PIECES = 4;
 
-    private static List<Outcome> runs(int nodes, long seeds, Set<Fault> faults, Set<Plant> plants) {
+    private static List<Outcome> runs(int nodes, long seeds, Set<Fault> faults, Set<InjectedFault> injectedFaults) {
         return LongStream.range(0, seeds)
                 .parallel()
-                .mapToObj(seed -> Lab.run(new Plan(nodes, Math.min(3, nodes), 30, seed, faults, plants)))
+                .mapToObj(seed ->
+                        ClusterSimulation.run(new Plan(nodes, Math.min(3, nodes), 30, seed, faults, injectedFaults)))
                 .toList();
     }
 
     @DataProvider
     public Object[][] clusters() {
         return new Object[][] {
-            {3, 250, ALL},
-            {5, 60, ALL},
-            {9, 20, ALL},
+            {3, 250, ALL_FAULTS},
+            {5, 60, ALL_FAULTS},
+            {9, 20, ALL_FAULTS},
             {1, 20, EnumSet.of(Fault.CRASH, Fault.STALL)},
             {3, 60, EnumSet.of(Fault.FORGET, Fault.CUT, Fault.CRASH)},
             {6, 60, EnumSet.of(Fault.FORGET, Fault.MOVE, Fault.CRASH, Fault.CUT)},
@@ -49,7 +53,7 @@
     }
 
     @Test(dataProvider = "clusters")
-    public void noSeedBreaksARule(int nodes, int seeds, Set<Fault> faults) {
+    public void rulesHoldForEverySeed(int nodes, int seeds, Set<Fault> faults) {
         List<Outcome> outcomes = runs(nodes, seeds, faults, Set.of());
         for (int seed = 0; seed < seeds; seed++) {
             Outcome outcome = outcomes.get(seed);
@@ -57,27 +61,27 @@
                     outcome.violation(),
                     "seed " + seed + ": " + outcome.violation() + "\n" + String.join("\n", outcome.history()));
         }
-        assertTrue(outcomes.stream().mapToInt(Outcome::acts).sum() > 100 * seeds, "acts were done");
+        assertTrue(outcomes.stream().mapToInt(Outcome::actsRun).sum() > 100 * seeds, "too few actsRun were done");
     }
 
     /**
-     * Every node of a large fleet tells what it wants of its budgets, ten times a second if it likes; claims
-     * pass all the same.
+     * Every node of a large fleet reports its budget demand, up to ten times a second; claims must not be
+     * delayed by these reports.
      */
     @Test
-    public void claimsAreNotHeldUpByTheBudgetsOfTwoHundredNodes() {
-        Outcome outcome =
-                Lab.run(new Plan(200, 3, 2, 1, EnumSet.of(Fault.DRIFT), Set.of(), 2_000, Scene.QUIET, Map.of()));
+    public void claimsAreNotDelayedByBudgetRequestsOfTwoHundredNodes() {
+        Outcome outcome = ClusterSimulation.run(
+                new Plan(200, 3, 2, 1, EnumSet.of(Fault.DRIFT), Set.of(), 2_000, Scenario.QUIET, Map.of()));
         assertNull(outcome.violation(), outcome.violation() + "\n" + String.join("\n", outcome.history()));
-        assertEquals(outcome.unknown(), 0, "claims of unknown end");
-        assertTrue(outcome.acts() >= PIECES_OF_THE_LAB * (4_000 - 1_000) / 300, outcome.acts() + " acts");
+        assertEquals(outcome.unknownClaims(), 0, "claims of unknownClaims outcome");
+        assertTrue(outcome.actsRun() >= LAB_PIECES * (4_000 - 1_000) / 300, outcome.actsRun() + " actsRun");
     }
 
-    /** What a leader of many nodes is asked is counted by kind, in the run's traffic. */
+    /** The messages of a run are counted by role and kind. */
     @Test
     public void trafficIsCountedByRoleAndKind() {
-        List<Traffic.Figure> traffic = Lab.run(
-                        new Plan(5, 3, 6, 1, EnumSet.of(Fault.DRIFT), Set.of(), 4_000, Scene.QUIET, Map.of()))
+        List<Traffic.Figure> traffic = ClusterSimulation.run(
+                        new Plan(5, 3, 6, 1, EnumSet.of(Fault.DRIFT), Set.of(), 4_000, Scenario.QUIET, Map.of()))
                 .traffic();
         double sent = rate(traffic, Traffic.Role.LEADER, Traffic.Direction.SENT, MessageKind.VIEW);
         assertEquals(rate(traffic, Traffic.Role.PLAIN, Traffic.Direction.SENT, MessageKind.RENEWAL), 5, 0.5);
@@ -97,71 +101,83 @@
                 .sum();
     }
 
-    /** A voter that lost its disk, or is to go, is replaced by command in nearly every run. */
+    /** A voter that lost its disk or is to leave is replaced by command in nearly every run. */
     @Test
     public void lostVotersAreReplaced() {
         List<Outcome> outcomes = runs(4, 20, EnumSet.of(Fault.FORGET, Fault.MOVE), Set.of());
         assertTrue(
-                outcomes.stream().mapToInt(Outcome::replaced).sum() > 40,
-                "" + outcomes.stream().map(Outcome::replaced).toList());
+                outcomes.stream().mapToInt(Outcome::replacedVoters).sum() > 40,
+                "" + outcomes.stream().map(Outcome::replacedVoters).toList());
     }
 
-    /** A link that is cut ends few lives, since what can't go straight goes by another voter. */
+    /** A broken link ends few lives, because messages are relayed through another voter. */
     @Test
-    public void aDetourSparesMostLives() {
+    public void relayingPreventsMostLifeLosses() {
         Set<Fault> link = EnumSet.of(Fault.LINK);
-        int with = runs(9, 20, link, Set.of()).stream().mapToInt(Outcome::lives).sum();
-        int without = runs(9, 20, link, Set.of(Plant.NO_DETOUR)).stream()
-                .mapToInt(Outcome::lives)
+        int livesWithRelay = runs(9, 20, link, Set.of()).stream()
+                .mapToInt(Outcome::falselyEndedLives)
                 .sum();
-        assertTrue(without > 20 && 3 * with < without, with + " of " + without);
+        int livesWithoutRelay = runs(9, 20, link, Set.of(InjectedFault.NO_DETOUR)).stream()
+                .mapToInt(Outcome::falselyEndedLives)
+                .sum();
+        assertTrue(
+                livesWithoutRelay > 20 && 3 * livesWithRelay < livesWithoutRelay,
+                livesWithRelay + " of " + livesWithoutRelay);
     }
 
     @Test
-    public void theSameSeedGivesTheSameRunToTheByte() {
-        Plan plan = new Plan(3, 3, 20, 11, ALL, Set.of());
-        Outcome first = Lab.run(plan);
-        assertEquals(Lab.run(plan), first);
-        assertNotEquals(Lab.run(new Plan(3, 3, 20, 12, ALL, Set.of())).fingerprint(), first.fingerprint());
+    public void sameSeedGivesIdenticalRun() {
+        Plan plan = new Plan(3, 3, 20, 11, ALL_FAULTS, Set.of());
+        Outcome first = ClusterSimulation.run(plan);
+        assertEquals(ClusterSimulation.run(plan), first);
+        assertNotEquals(
+                ClusterSimulation.run(new Plan(3, 3, 20, 12, ALL_FAULTS, Set.of()))
+                        .fingerprint(),
+                first.fingerprint());
     }
 
-    /** Each step of a settled cluster of three is lost, late, stalled or the process's last, by itself. */
+    /**
+     * In a stable cluster of three, each step in turn is lost, delayed, suspended, or the last one of its
+     * process.
+     */
     @Test
-    public void noSlipAtAnyStepBreaksARule() {
-        for (Scene scene : Scene.values()) {
-            Explorer.Found found = Explorer.run(1, scene, 0, 100, 1, Set.of());
+    public void rulesHoldForAFaultAtAnyStep() {
+        for (Scenario scene : Scenario.values()) {
+            FaultExplorer.Result found = FaultExplorer.run(1, scene, 0, 100, 1, Set.of());
             assertNull(
-                    found.violated(),
-                    found.violated() == null
+                    found.violatingFaults(),
+                    found.violatingFaults() == null
                             ? ""
-                            : scene + " " + found.violated() + " "
+                            : scene + " " + found.violatingFaults() + " "
                                     + found.outcome().violation());
-            assertTrue(found.distinct() > 100 && found.acts() > 20_000, found + "");
+            assertTrue(found.distinct() > 100 && found.actsRun() > 20_000, found + "");
         }
-        for (Plant plant : Set.of(Plant.CLAIM_SKIPPED, Plant.OWNER_THAT_DOES_NOT_CHECK)) {
-            assertNotNull(Explorer.run(1, Scene.QUIET, 0, 30, 1, Set.of(plant)).violated());
+        for (InjectedFault injectedFault :
+                Set.of(InjectedFault.CLAIM_SKIPPED, InjectedFault.OWNER_THAT_DOES_NOT_CHECK)) {
+            assertNotNull(FaultExplorer.run(1, Scenario.QUIET, 0, 30, 1, Set.of(injectedFault))
+                    .violatingFaults());
         }
     }
 
     @DataProvider
-    public Object[][] plants() {
+    public Object[][] injectedFaults() {
         Set<Fault> forget = EnumSet.of(Fault.FORGET, Fault.CUT);
         return new Object[][] {
-            {Plant.CLAIM_SKIPPED, 10, ALL},
-            {Plant.EPOCH_NOT_KEPT, 10, ALL},
-            {Plant.LEASE_WITHOUT_MARGIN, 30, ALL},
-            {Plant.OWNER_THAT_DOES_NOT_CHECK, 30, ALL},
-            {Plant.FORGOTTEN_VOTES, 120, forget},
-            {Plant.PARTS_OVER, 2, ALL},
-            {Plant.GIVES_BACK_LATE, 10, ALL},
-            {Plant.PART_KEPT, 20, ALL}
+            {InjectedFault.CLAIM_SKIPPED, 10, ALL_FAULTS},
+            {InjectedFault.EPOCH_NOT_KEPT, 10, ALL_FAULTS},
+            {InjectedFault.LEASE_WITHOUT_MARGIN, 30, ALL_FAULTS},
+            {InjectedFault.OWNER_THAT_DOES_NOT_CHECK, 30, ALL_FAULTS},
+            {InjectedFault.FORGOTTEN_VOTES, 120, forget},
+            {InjectedFault.PARTS_OVER, 2, ALL_FAULTS},
+            {InjectedFault.GIVES_BACK_LATE, 10, ALL_FAULTS},
+            {InjectedFault.PART_KEPT, 20, ALL_FAULTS}
         };
     }
 
-    @Test(dataProvider = "plants")
-    public void aPlantedFaultIsFound(Plant plant, int seeds, Set<Fault> faults) {
+    @Test(dataProvider = "injectedFaults")
+    public void injectedFaultIsDetected(InjectedFault injectedFault, int seeds, Set<Fault> faults) {
         assertTrue(
-                runs(3, seeds, faults, Set.of(plant)).stream().anyMatch(o -> o.violation() != null),
-                plant + " was not found in " + seeds + " seeds");
+                runs(3, seeds, faults, Set.of(injectedFault)).stream().anyMatch(o -> o.violation() != null),
+                injectedFault + " was not detected in " + seeds + " seeds");
     }
 }
--- a/src/test/java/gorserill/measure/WireCapacity.java
+++ b/src/test/java/gorserill/measure/WireCapacity.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import gorserill.cluster.ownership.Entry;
 import gorserill.cluster.ownership.Register;
-import gorserill.protocol.discovery.Listing;
+import gorserill.protocol.discovery.WorkerListing;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -62,7 +62,7 @@
             Spread took = cost(rounds, () -> {
                 try (JsonParser json = JSON.createParser(text)) {
                     json.nextToken();
-                    Listing.read(json);
+                    WorkerListing.read(json);
                 }
             });
             System.out.printf("| %d | %d | %s |%n", workers, text.length, took);
@@ -105,26 +105,26 @@
             Gossip teller = new Gossip(nodes, 0, 1);
             Gossip hearer = new Gossip(nodes, 0, 2);
             int[] bytes = {0};
-            Spread making = cost(rounds, () -> bytes[0] = teller.message(names, taken, rates).length);
+            Spread making = cost(rounds, () -> bytes[0] = teller.nextMessage(names, taken, rates).length);
             int named = (bytes[0] - 11 - 4 * 16) / 4;
             int turns = (names.length + named - 1) / named;
             List<byte[]> messages = new ArrayList<>();
             for (int i = 0; i < turns; i++) {
-                messages.add(teller.message(names, taken, rates));
+                messages.add(teller.nextMessage(names, taken, rates));
             }
             long[] now = {0};
             int[] next = {0};
             // As many as name all, within the 3 s that a word counts; then the same again.
             for (byte[] message : messages) {
-                hearer.heard(++now[0], 1, message);
+                hearer.receive(++now[0], 1, message);
             }
             int kept = 0;
             for (long name : names) {
-                kept += hearer.taken(name) > 0 ? 1 : 0;
+                kept += hearer.slotsTakenByPeers(name) > 0 ? 1 : 0;
             }
             next[0] = 1_000_000;
             Spread taking =
-                    cost(rounds, () -> hearer.heard(++now[0], 1, numbered(messages.get(next[0] % turns), ++next[0])));
+                    cost(rounds, () -> hearer.receive(++now[0], 1, numbered(messages.get(next[0] % turns), ++next[0])));
             System.out.printf(
                     "| %d | %d | %d | %d | %d | %s | %s |%n",
                     nodes, names.length, bytes[0], turns, kept, making, taking);
@@ -201,7 +201,7 @@
         for (int round = 0; round < rounds * 3; round++) {
             long life = register.nodes().get("node-9").life;
             double from = Spread.cpu();
-            register.apply(++index[0], Register.text(new Entry.Close("node-9", life, Register.UNHEARD)));
+            register.apply(++index[0], Register.text(new Entry.Close("node-9", life, Register.NOT_HEARD)));
             double gone = Spread.cpu();
             open(register, ++index[0], 9, names);
             goes.add(gone - from);
--- a/src/test/java/gorserill/program/ClusterRunTest.java
+++ b/src/test/java/gorserill/program/ClusterRunTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import gorserill.program.command.Gorserill;
+import gorserill.program.command.GorserillCommand;
 import gorserill.transport.ReservedPort;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -28,7 +28,9 @@
             Files.writeString(
                     folder.resolve("node.json"),
                     new String(text.readAllBytes(), StandardCharsets.UTF_8)
-                            .replace("CLIENTS", "" + ReservedPort.untilExit().getPort())
+                            .replace(
+                                    "CLIENTS",
+                                    "" + ReservedPort.reserveUntilExit().getPort())
                             .replace("OPERATORS", "" + operators)
                             .replace("DISCOVERY", "9")
                             .replace(
@@ -62,7 +64,7 @@
                 System.arraycopy(words, 0, line, 1, words.length);
                 line[words.length + 1] = "--at";
                 line[words.length + 2] = "127.0.0.1:" + operators;
-                status = Gorserill.execute(line);
+                status = GorserillCommand.execute(line);
             } finally {
                 System.setOut(out);
                 System.setErr(err);
@@ -77,8 +79,8 @@
     @Test(timeOut = 30_000)
     public void staffSeeAndChangeTheClusterOnTheCommandLine() throws Exception {
         Path folder = Files.createTempDirectory("cluster");
-        int operators = ReservedPort.untilExit().getPort();
-        int wire = ReservedPort.untilExit().getPort();
+        int operators = ReservedPort.reserveUntilExit().getPort();
+        int wire = ReservedPort.reserveUntilExit().getPort();
         Map<String, String> environment = files(folder, operators, GOOD.formatted(wire, wire, folder));
         Node node = new Node(NodeConfig.read(environment), environment);
         node.start();
--- a/src/test/java/gorserill/program/LifecycleTest.java
+++ b/src/test/java/gorserill/program/LifecycleTest.java
@@ -10,8 +10,8 @@
 import barrowflow.Dispatcher.JobClass;
 import barrowflow.Dispatcher.Settings;
 import gorserill.common.Loop;
-import gorserill.protocol.ClientFront;
-import gorserill.protocol.Intake;
+import gorserill.protocol.ClientFrontend;
+import gorserill.protocol.IntakeMode;
 import gorserill.routing.Core;
 import java.util.ArrayList;
 import java.util.List;
@@ -28,9 +28,9 @@
         final List<String> told = new ArrayList<>();
         boolean empty;
 
-        final ClientFront front = new ClientFront() {
+        final ClientFrontend front = new ClientFrontend() {
             @Override
-            public void intake(Intake intake) {
+            public void setIntakeMode(IntakeMode intake) {
                 told.add(intake.toString());
             }
 
@@ -40,17 +40,17 @@
             }
 
             @Override
-            public boolean empty() {
+            public boolean hasNoClients() {
                 return empty;
             }
 
             @Override
-            public void welcome(boolean clients) {
+            public void advertiseReady(boolean clients) {
                 told.add("welcome " + clients);
             }
 
             @Override
-            public void dismiss() {}
+            public void announceShutdown() {}
         };
 
         void passes(long millis) {
@@ -81,8 +81,8 @@
                     () -> {});
             Lifecycle life = new Lifecycle(
                     loop, "n1", core, List.of(front), false, () -> told.add("listening ends"), () -> told.add("ended"));
-            life.started();
-            life.end(LONGEST, false);
+            life.startServing();
+            life.shutDown(LONGEST, false);
         }
     }
 
@@ -91,7 +91,9 @@
     public void theEndWaitsForClientsThatAreStillConnected() {
         Ending node = new Ending();
         node.passes(2_300);
-        assertEquals(node.told, List.of("welcome true", "welcome false", "listening ends", "LAST", "close idle"));
+        assertEquals(
+                node.told,
+                List.of("welcome true", "welcome false", "listening ends", "ONE_MORE_PER_CONNECTION", "close idle"));
         node.passes(700);
         assertFalse(node.told.contains("ended"));
         node.empty = true;
--- a/src/test/java/gorserill/program/MaintenanceTest.java
+++ b/src/test/java/gorserill/program/MaintenanceTest.java
@@ -5,7 +5,7 @@
 
 import barrowflow.Dispatcher.ListKind;
 import gorserill.common.Loop;
-import gorserill.protocol.discovery.Listing;
+import gorserill.protocol.discovery.WorkerListing;
 import gorserill.routing.Core;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -27,18 +27,21 @@
         private final Loop loop = new Loop(faults::add, () -> 0);
         private final Core core = new Core(loop, config.settings, 1, () -> {});
         private final Bans bans = new Bans(folder, "n1");
-        private final Fleet fleet = new Fleet(loop, core, null, List.of("a"), List.of("std4"), bans::has);
+        private final WorkerDirectory fleet =
+                new WorkerDirectory(loop, core, null, List.of("a"), List.of("std4"), bans::contains);
         private final Maintenance maintenance = new Maintenance(loop, bans, fleet, null);
 
         Process() {
-            fleet.tell(
+            fleet.update(
                     ListKind.WHOLE,
-                    new Listing(
-                            1, true, List.of(new Listing.Entry("w1", "127.0.0.1:9", "a", "std4", 0, "in_service", 0))));
+                    new WorkerListing(
+                            1,
+                            true,
+                            List.of(new WorkerListing.Entry("w1", "127.0.0.1:9", "a", "std4", 0, "in_service", 0))));
         }
 
         void call(boolean out) {
-            assertNull(maintenance.set("w1", out));
+            assertNull(maintenance.setBanned("w1", out));
             assertEquals(faults, List.of());
         }
     }
--- a/src/test/java/gorserill/routing/Deployments.java
+++ b/src/test/java/gorserill/routing/Deployments.java
@@ -2,17 +2,17 @@
 
 import barrowflow.Dispatcher.Cold;
 import barrowflow.Dispatcher.Effect;
-import barrowflow.Dispatcher.Goal;
 import barrowflow.Dispatcher.Group;
 import barrowflow.Dispatcher.JobClass;
+import barrowflow.Dispatcher.LoadSources;
+import barrowflow.Dispatcher.Objective;
 import barrowflow.Dispatcher.Settings;
-import barrowflow.Dispatcher.Signs;
 import barrowflow.Dispatcher.Tenant;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Deployments drawn from seeds, within what the platform's pages allow: settings that nobody here runs. */
+/** Random deployments within the limits that the platform specifies. */
 final class Deployments {
     private Deployments() {}
 
@@ -54,8 +54,8 @@
                 random.nextBoolean(),
                 random.nextInt(3) / 20.0,
                 random.nextBoolean(),
-                new Goal(random.nextInt(11) / 10.0, random.nextInt(11) / 10.0, random.nextBoolean()),
-                new Signs(
+                new Objective(random.nextInt(11) / 10.0, random.nextInt(11) / 10.0, random.nextBoolean()),
+                new LoadSources(
                         random.nextBoolean(),
                         random.nextInt(3) / 100.0,
                         random.nextBoolean(),
